--- a/packages/admission/src/caller-patience.ts
+++ b/packages/admission/src/caller-time-limits.ts
@@ -12,7 +12,7 @@
 const USUAL_QUANTILE = 0.75;
 
 /** Time that the callers of one route allow. */
-export class CallerPatience {
+export class CallerTimeLimits {
   private readonly recentMs: number[] = [];
   private next = 0;
 
--- a/packages/admission/src/fair-turns.test.ts
+++ b/packages/admission/src/fair-queue-order.test.ts
@@ -4,8 +4,8 @@
  */
 import test from 'ava';
 import { describe, seededRandom, title } from '@shedline/test-utils';
-import { FairTurns } from './fair-turns.js';
-import type { WaitingTurn } from './fair-turns.js';
+import { FairQueueOrder } from './fair-queue-order.js';
+import type { QueuedRequest } from './fair-queue-order.js';
 import { compareTurns } from './wait-estimate.js';
 
 /** Callers wait this long; later than the target an answer is late. */
@@ -23,14 +23,14 @@
 }
 
 interface Waiting {
-  readonly wish: WaitingTurn;
+  readonly request: QueuedRequest;
 }
 
 /** Who goes first, in one of the ways weighed. */
 interface TurnOrder {
   readonly name: string;
   asked(rank: number, nowMs: number): void;
-  served(wish: WaitingTurn, nowMs: number): void;
+  served(request: QueuedRequest, nowMs: number): void;
   order(waiting: readonly Waiting[], nowMs: number): Waiting[];
 }
 
@@ -46,7 +46,7 @@
   }
 
   order(waiting: readonly Waiting[], nowMs: number): Waiting[] {
-    return [...waiting].sort((a, b) => compareTurns(a.wish, b.wish, nowMs));
+    return [...waiting].sort((a, b) => compareTurns(a.request, b.request, nowMs));
   }
 }
 
@@ -56,18 +56,20 @@
   private readonly turns = new Map<string, number>();
 
   override order(waiting: readonly Waiting[], nowMs: number): Waiting[] {
-    const turnOf = ({ wish }: Waiting): number => this.turns.get(wish.workspace ?? '') ?? 0;
+    const turnOf = ({ request }: Waiting): number => this.turns.get(request.workspace ?? '') ?? 0;
     const ordered = [...waiting].sort(
       (a, b) =>
-        a.wish.rank - b.wish.rank || turnOf(a) - turnOf(b) || compareTurns(a.wish, b.wish, nowMs),
+        a.request.rank - b.request.rank ||
+        turnOf(a) - turnOf(b) ||
+        compareTurns(a.request, b.request, nowMs),
     );
-    const first = ordered[0]?.wish.workspace;
+    const first = ordered[0]?.request.workspace;
     if (first !== undefined) this.turns.set(first, (this.turns.get(first) ?? 0) + 1);
     return ordered;
   }
 }
 
-class Fair extends FairTurns implements TurnOrder {
+class Fair extends FairQueueOrder implements TurnOrder {
   readonly name = 'both';
 }
 
@@ -85,26 +87,26 @@
     demands.forEach((demand) => {
       if (random() < demand.perS / 1000) {
         const { workspace, rank } = demand;
-        const wish = {
+        const request = {
           workspace,
           rank,
           onTimeUntilMs: nowMs + TARGET_MS,
           deadlineMs: nowMs + DEADLINE_MS,
         };
-        waiting.push({ wish });
+        waiting.push({ request });
         turns.asked(rank, nowMs);
         countOf(counts, workspace).asked += 1;
       }
     });
-    waiting = waiting.filter(({ wish }) => wish.deadlineMs > nowMs);
+    waiting = waiting.filter(({ request }) => request.deadlineMs > nowMs);
     if (nowMs % (1000 / CAPACITY_PER_S) !== 0) continue;
     const [first, ...others] = turns.order(waiting, nowMs);
     if (first === undefined) continue;
     waiting = others;
-    turns.served(first.wish, nowMs);
-    const count = countOf(counts, first.wish.workspace ?? '');
+    turns.served(first.request, nowMs);
+    const count = countOf(counts, first.request.workspace ?? '');
     count.served += 1;
-    if (first.wish.onTimeUntilMs >= nowMs) count.onTime += 1;
+    if (first.request.onTimeUntilMs >= nowMs) count.onTime += 1;
   }
   return counts;
 }
--- a/packages/admission/src/fair-turns.ts
+++ b/packages/admission/src/fair-queue-order.ts
@@ -7,7 +7,7 @@
 import type { WaitingRequest } from './wait-estimate.js';
 
 /** A request that waits, and for whom. */
-export interface WaitingTurn extends WaitingRequest {
+export interface QueuedRequest extends WaitingRequest {
   /** Undefined where callers show no key; all of these count as one. */
   readonly workspace?: string;
 }
@@ -31,7 +31,7 @@
 }
 
 /** Whose turn it is at one entry. */
-export class FairTurns {
+export class FairQueueOrder {
   private readonly byRank = new Map<number, Served>();
   private readonly all: Served = { asked: 0, served: 0 };
   /** Requests of each workspace that were served of late. */
@@ -46,7 +46,7 @@
   }
 
   /** Notes that a request got its endpoint. */
-  served({ rank, workspace = '' }: WaitingTurn, nowMs: number): void {
+  served({ rank, workspace = '' }: QueuedRequest, nowMs: number): void {
     this.fade(nowMs);
     this.countOf(rank).served += 1;
     this.all.served += 1;
@@ -57,29 +57,29 @@
    * The order of turns: by rank and lateness as {@link compareTurns}; within these by what the workspace was served of late
    * and has waiting before; then the soonest late first. The first of a rank that is starved goes before all.
    */
-  order<T extends { readonly wish: WaitingTurn }>(waiting: readonly T[], nowMs: number): T[] {
+  order<T extends { readonly request: QueuedRequest }>(waiting: readonly T[], nowMs: number): T[] {
     this.fade(nowMs);
     const places = new Map<T, number>();
     const next = new Map<string, number>();
-    const soonest = [...waiting].sort((a, b) => compareTurns(a.wish, b.wish, nowMs));
+    const soonest = [...waiting].sort((a, b) => compareTurns(a.request, b.request, nowMs));
     for (const one of soonest) {
-      const { workspace = '' } = one.wish;
+      const { workspace = '' } = one.request;
       const place = next.get(workspace) ?? this.servedOf.get(workspace) ?? 0;
       next.set(workspace, place + 1);
       places.set(one, place);
     }
     const ordered = soonest.sort((a, b) => {
-      const isAlike = classOf(a.wish, nowMs) === classOf(b.wish, nowMs);
+      const isAlike = classOf(a.request, nowMs) === classOf(b.request, nowMs);
       const byPlace = (places.get(a) ?? 0) - (places.get(b) ?? 0);
-      return (isAlike ? byPlace : 0) || compareTurns(a.wish, b.wish, nowMs);
+      return (isAlike ? byPlace : 0) || compareTurns(a.request, b.request, nowMs);
     });
     return this.starvedFirst(ordered);
   }
 
-  private starvedFirst<T extends { readonly wish: WaitingTurn }>(ordered: T[]): T[] {
-    const firstRank = ordered[0]?.wish.rank;
+  private starvedFirst<T extends { readonly request: QueuedRequest }>(ordered: T[]): T[] {
+    const firstRank = ordered[0]?.request.rank;
     const place = ordered.findIndex(
-      ({ wish }) => wish.rank !== firstRank && this.isStarved(wish.rank),
+      ({ request }) => request.rank !== firstRank && this.isStarved(request.rank),
     );
     if (place <= 0) return ordered;
     const [starved] = ordered.splice(place, 1);
@@ -115,6 +115,6 @@
 }
 
 /** Requests of a class are told apart by workspace first: rank, and whether they are late already. */
-function classOf(turn: WaitingTurn, nowMs: number): string {
+function classOf(turn: QueuedRequest, nowMs: number): string {
   return `${turn.rank} ${timelinessOf(turn, nowMs)}`;
 }
--- a/packages/admission/src/index.ts
+++ b/packages/admission/src/index.ts
@@ -8,6 +8,6 @@
 export * from './retry-budget.js';
 export * from './retry-decision.js';
 export * from './row-limits.js';
-export * from './caller-patience.js';
-export * from './fair-turns.js';
+export * from './caller-time-limits.js';
+export * from './fair-queue-order.js';
 export * from './wait-estimate.js';
--- a/packages/admission/src/quota.test.ts
+++ b/packages/admission/src/quota.test.ts
@@ -2,7 +2,7 @@
 import fc from 'fast-check';
 import { describe, seededRandom, title } from '@shedline/test-utils';
 import { QuotaHolder, QuotaOwner } from './quota.js';
-import type { QuotaAnswer, QuotaAsk } from './quota.js';
+import type { QuotaAnswer, QuotaRequest } from './quota.js';
 
 const LIMIT = 100;
 const LEASE_MS = 1000;
@@ -80,7 +80,7 @@
     const askedAtMs = nowMs;
     const token = entry.holder.lastToken;
     const demand = random() * LIMIT * 1.5;
-    const question: QuotaAsk = {
+    const question: QuotaRequest = {
       entry: entry.name,
       row: ROW,
       demand,
--- a/packages/admission/src/quota.ts
+++ b/packages/admission/src/quota.ts
@@ -21,7 +21,7 @@
 const IDLE_LEASES = 10;
 
 /** A request for a share of a limit. */
-export interface QuotaAsk {
+export interface QuotaRequest {
   readonly entry: string;
   readonly row: string;
   /** How much of the limit the entry could use now. */
@@ -97,16 +97,16 @@
   }
 
   /** Answers a request with the share that the entry holds for the lease period. */
-  ask(ask: QuotaAsk, nowMs: number): QuotaAnswer {
-    this.noteSupport(ask, nowMs);
-    const row = this.rowOf(ask);
-    const asker = row.askers.get(ask.entry) ?? { demand: 0, heardAtMs: nowMs, grants: [] };
-    row.askers.set(ask.entry, asker);
-    asker.demand = ask.demand;
+  ask(request: QuotaRequest, nowMs: number): QuotaAnswer {
+    this.noteSupport(request, nowMs);
+    const row = this.rowOf(request);
+    const asker = row.askers.get(request.entry) ?? { demand: 0, heardAtMs: nowMs, grants: [] };
+    row.askers.set(request.entry, asker);
+    asker.demand = request.demand;
     asker.heardAtMs = nowMs;
     const token = { ownerEpoch: this.epoch, atMs: nowMs };
     if (!this.mayGrant(nowMs)) return { granted: 0, token };
-    const free = this.pool(row) - this.outstanding(row, ask.entry, nowMs);
+    const free = this.pool(row) - this.outstanding(row, request.entry, nowMs);
     const granted = Math.max(0, Math.min(this.fairShare(row, asker, nowMs), free));
     asker.grants = asker.grants.filter((grant) => grant.untilMs > nowMs);
     asker.grants.push({ amount: granted, untilMs: nowMs + this.leaseMs });
@@ -133,10 +133,10 @@
     return nowMs - this.majoritySinceMs >= this.leaseMs;
   }
 
-  private noteSupport(ask: QuotaAsk, nowMs: number): void {
+  private noteSupport(request: QuotaRequest, nowMs: number): void {
     // Support that lapsed between two asks must break the majority even if nobody looked.
     this.mayGrant(nowMs);
-    const { entry, token } = ask;
+    const { entry, token } = request;
     if (token?.ownerEpoch !== this.epoch) return;
     const before = this.supportedAtMs.get(entry) ?? -Infinity;
     this.supportedAtMs.set(entry, Math.max(before, token.atMs));
@@ -150,17 +150,17 @@
     return count > this.entryCount / 2;
   }
 
-  private rowOf(ask: QuotaAsk): OwnedRow {
-    const known = this.rows.get(ask.row);
+  private rowOf(request: QuotaRequest): OwnedRow {
+    const known = this.rows.get(request.row);
     if (known === undefined) {
       const askers = new Map<string, Asker>();
-      const fresh = { limit: ask.limit, revision: ask.revision, askers };
-      this.rows.set(ask.row, fresh);
+      const fresh = { limit: request.limit, revision: request.revision, askers };
+      this.rows.set(request.row, fresh);
       return fresh;
     }
-    if (ask.revision > known.revision) {
-      known.limit = ask.limit;
-      known.revision = ask.revision;
+    if (request.revision > known.revision) {
+      known.limit = request.limit;
+      known.revision = request.revision;
     }
     return known;
   }
--- a/packages/admission/src/wait-estimate.test.ts
+++ b/packages/admission/src/wait-estimate.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import fc from 'fast-check';
 import { describe, title } from '@shedline/test-utils';
-import { CallerPatience } from './caller-patience.js';
+import { CallerTimeLimits } from './caller-time-limits.js';
 import { WaitEstimate, compareTurns } from './wait-estimate.js';
 import type { WaitingRequest } from './wait-estimate.js';
 
@@ -90,16 +90,16 @@
   });
 });
 
-describe('CallerPatience', () => {
+describe('CallerTimeLimits', () => {
   test(title('tells callers that come back from new ones, some of them patient'), (t) => {
-    const patience = new CallerPatience();
-    t.is(patience.ageMs(700), 0);
+    const timeLimits = new CallerTimeLimits();
+    t.is(timeLimits.ageMs(700), 0);
     for (let index = 0; index < 50; index += 1) {
-      patience.note(index % 20 === 0 ? 60_000 : 2000);
-      if (index % 5 === 0) patience.note(1400);
+      timeLimits.note(index % 20 === 0 ? 60_000 : 2000);
+      if (index % 5 === 0) timeLimits.note(1400);
     }
-    t.is(patience.ageMs(1400), 600);
-    t.is(patience.ageMs(2000), 0);
-    t.is(patience.ageMs(60_000), 0);
+    t.is(timeLimits.ageMs(1400), 600);
+    t.is(timeLimits.ageMs(2000), 0);
+    t.is(timeLimits.ageMs(60_000), 0);
   });
 });
--- a/packages/client/src/client.ts
+++ b/packages/client/src/client.ts
@@ -10,7 +10,7 @@
 import type { ErrorBody } from '@shedline/errors';
 import { DEADLINE_HEADER, SESSION_HEADER } from '@shedline/types';
 import type { JobView } from '@shedline/types';
-import { AddressBook } from './address-book.js';
+import { EntryAddresses } from './entry-addresses.js';
 import { exchange } from './http-exchange.js';
 import type { Exchange } from './http-exchange.js';
 
@@ -78,7 +78,7 @@
 /** Calls shedline. */
 export class ShedlineClient {
   private readonly options: ShedlineClientOptions;
-  private readonly book: AddressBook;
+  private readonly addresses: EntryAddresses;
   private readonly agent = new Agent({
     connect: { timeout: CONNECT_TIMEOUT_MS },
     headersTimeout: 0,
@@ -87,7 +87,7 @@
 
   constructor(options: ShedlineClientOptions) {
     this.options = options;
-    this.book = new AddressBook({ seeds: options.urls });
+    this.addresses = new EntryAddresses({ seeds: options.urls });
   }
 
   /** Closes the connections. */
@@ -242,7 +242,7 @@
         const error = toShedlineError(thrown, { step: options.path, peer: url, ran: 'unknown' });
         if (error.ran !== 'no') ran = error.ran;
         const nowMs = performance.now();
-        if (isLost(error)) this.book.failed(url, nowMs);
+        if (isLost(error)) this.addresses.failed(url, nowMs);
         const pauseMs = Math.min(MAX_PAUSE_MS, error.retryAfterMs ?? DEFAULT_PAUSE_MS);
         const inTime = nowMs - startedMs + pauseMs < deadlineMs;
         const aborted = options.signal?.aborted === true;
@@ -255,8 +255,8 @@
   }
 
   private async chooseUrl(tries: number): Promise<string> {
-    if (this.book.isStale(performance.now())) await this.askAddresses();
-    const order = this.book.inOrder(performance.now());
+    if (this.addresses.isStale(performance.now())) await this.askAddresses();
+    const order = this.addresses.inOrder(performance.now());
     // A refusal does not make an address bad, but the next try goes elsewhere all the same.
     return order[(tries - 1) % order.length] ?? '';
   }
@@ -264,7 +264,7 @@
   private async askAddresses(): Promise<void> {
     const zone = this.options.availabilityZone;
     const query = zone === undefined ? '' : `?availabilityZone=${encodeURIComponent(zone)}`;
-    for (const url of this.book.inOrder(performance.now())) {
+    for (const url of this.addresses.inOrder(performance.now())) {
       try {
         const answer = await this.send(url, {
           method: 'GET',
@@ -275,7 +275,7 @@
           addresses: { url: string }[];
           keepForMs: number;
         };
-        this.book.keep(
+        this.addresses.keep(
           body.addresses.map((address) => address.url),
           body.keepForMs,
           performance.now(),
@@ -284,7 +284,7 @@
       } catch (thrown) {
         const error = toShedlineError(thrown, { step: 'addresses', peer: url });
         if (error.type === 'unauthorized') return;
-        this.book.failed(url, performance.now());
+        this.addresses.failed(url, performance.now());
       }
     }
   }
--- a/packages/client/src/address-book.ts
+++ b/packages/client/src/entry-addresses.ts
@@ -6,20 +6,20 @@
 /** Time for which an address that failed is passed over. */
 const AVOID_MS = 5000;
 
-/** Options of {@link AddressBook}. */
-export interface AddressBookOptions {
+/** Options of {@link EntryAddresses}. */
+export interface EntryAddressesOptions {
   /** Addresses from the settings, asked when no kept answer is left. */
   readonly seeds: readonly string[];
 }
 
 /** Addresses of entries. */
-export class AddressBook {
+export class EntryAddresses {
   private readonly seeds: readonly string[];
   private kept: readonly string[] = [];
   private keptUntilMs = -Infinity;
   private readonly avoidedUntilMs = new Map<string, number>();
 
-  constructor(options: AddressBookOptions) {
+  constructor(options: EntryAddressesOptions) {
     this.seeds = options.seeds;
   }
 
--- a/packages/client/src/index.ts
+++ b/packages/client/src/index.ts
@@ -9,4 +9,4 @@
   JobItem,
   ShedlineClientOptions,
 } from './client.js';
-export { AddressBook } from './address-book.js';
+export { EntryAddresses } from './entry-addresses.js';
--- a/packages/control/src/cluster-finder.test.ts
+++ b/packages/control/src/cluster-finder.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import { createLogger } from '@shedline/logger';
 import { describe, title } from '@shedline/test-utils';
-import type { PeerBook } from '@shedline/transport';
+import type { PeerConnections } from '@shedline/transport';
 import type { HelloAnswer } from './bootstrap.js';
 import { findCluster } from './cluster-finder.js';
 
@@ -10,17 +10,17 @@
 const KNOWS: HelloAnswer = { instance: 'a', memberId: 'a#1', cluster: CLUSTER };
 
 /** Peers of which some never answer. */
-function bookOf(answers: Readonly<Record<string, HelloAnswer | undefined>>): PeerBook {
+function bookOf(answers: Readonly<Record<string, HelloAnswer | undefined>>): PeerConnections {
   const get = (name: string) => ({
     request: () => {
       const answer = answers[name];
       return answer === undefined ? new Promise(() => undefined) : Promise.resolve(answer);
     },
   });
-  return { names: Object.keys(answers), get } as unknown as PeerBook;
+  return { names: Object.keys(answers), get } as unknown as PeerConnections;
 }
 
-function find(peers: PeerBook, bootstrapMembers: readonly string[]) {
+function find(peers: PeerConnections, bootstrapMembers: readonly string[]) {
   return findCluster({
     hello: OWN,
     peers,
--- a/packages/control/src/cluster-finder.ts
+++ b/packages/control/src/cluster-finder.ts
@@ -3,7 +3,7 @@
  */
 import { setTimeout as pause } from 'node:timers/promises';
 import type { Logger } from '@shedline/logger';
-import type { PeerBook } from '@shedline/transport';
+import type { PeerConnections } from '@shedline/transport';
 import { newCluster, planBootstrap } from './bootstrap.js';
 import type { HelloAnswer } from './bootstrap.js';
 import type { ClusterDocument } from './identity.js';
@@ -14,7 +14,7 @@
 /** Options of {@link findCluster}. */
 export interface FindClusterOptions {
   readonly hello: HelloAnswer;
-  readonly peers: PeerBook;
+  readonly peers: PeerConnections;
   /** Instances that form the cluster where there is none; none where it is left to others. */
   readonly bootstrapMembers: readonly string[];
   /** Sizes of a cluster that is formed here. */
--- a/packages/control/src/control-node.ts
+++ b/packages/control/src/control-node.ts
@@ -4,7 +4,7 @@
 import type { ControlSettings, Settings } from '@shedline/config';
 import type { ControlPort, ControlStatus } from '@shedline/control-client';
 import type { Logger } from '@shedline/logger';
-import { PeerBook, PeerServer } from '@shedline/transport';
+import { PeerConnections, PeerServer } from '@shedline/transport';
 import { TABLE_GROUP } from '@shedline/types';
 import { findCluster } from './cluster-finder.js';
 import { ControlRequests } from './control-requests.js';
@@ -30,7 +30,7 @@
   private readonly control: ControlSettings;
   private readonly logger: Logger;
   private readonly server: PeerServer;
-  private readonly peers: PeerBook;
+  private readonly peers: PeerConnections;
   private readonly groups: GroupNode;
   private readonly jobDuties: JobDuties;
   private readonly tableDuties: TableDuties;
@@ -48,7 +48,7 @@
     };
     this.jobDuties = new JobDuties({ control, inBackground });
     this.tableDuties = new TableDuties({ control, logger, nowMs, random, inBackground });
-    this.peers = new PeerBook({ name: settings.name, secret: settings.instanceSecret });
+    this.peers = new PeerConnections({ name: settings.name, secret: settings.instanceSecret });
     this.groups = this.createGroups(random, nowMs);
     this.requests = new ControlRequests({
       instance: settings.name,
--- a/packages/control/src/group-node.ts
+++ b/packages/control/src/group-node.ts
@@ -11,7 +11,7 @@
 import type { Logger } from '@shedline/logger';
 import { DiskItemFiles, NodeFileSystem, Storage, lockFolder } from '@shedline/storage';
 import type { RecoveredGroup, ReleaseLock } from '@shedline/storage';
-import type { PeerBook } from '@shedline/transport';
+import type { PeerConnections } from '@shedline/transport';
 import type { HelloAnswer } from './bootstrap.js';
 import { GroupHost } from './group-host.js';
 import { initialConfig, loadCluster, loadMemberId, saveCluster } from './identity.js';
@@ -75,7 +75,7 @@
   readonly settings: GroupNodeSettings;
   readonly role: GroupNodeRole;
   /** Connections to the other processes of the cluster. */
-  readonly peers: PeerBook;
+  readonly peers: PeerConnections;
   readonly logger: Logger;
   readonly random: () => number;
   /** Monotonic milliseconds. */
--- a/packages/control/src/peer-presence.test.ts
+++ b/packages/control/src/peer-presence.test.ts
@@ -1,12 +1,12 @@
 import test from 'ava';
 import { createLogger } from '@shedline/logger';
 import { describe, title } from '@shedline/test-utils';
-import { PeerBook } from '@shedline/transport';
+import { PeerConnections } from '@shedline/transport';
 import { PeerPresence } from './peer-presence.js';
 
 function presenceAt(clock: { nowMs: number }): PeerPresence {
   const presence = new PeerPresence({
-    peers: new PeerBook({ name: 'own', secret: 'secret-of-the-tests' }),
+    peers: new PeerConnections({ name: 'own', secret: 'secret-of-the-tests' }),
     logger: createLogger({ level: 'silent' }),
     nowMs: () => clock.nowMs,
   });
--- a/packages/control/src/peer-presence.ts
+++ b/packages/control/src/peer-presence.ts
@@ -2,7 +2,7 @@
  * Which processes of the cluster are up, from what they say of themselves twice a second, and
  * under which identity: one that lost its disk comes back under another.
  */
-import type { PeerBook } from '@shedline/transport';
+import type { PeerConnections } from '@shedline/transport';
 import type { Logger } from '@shedline/logger';
 
 /** Time between announcements. */
@@ -20,7 +20,7 @@
 
 /** Options of {@link PeerPresence}. */
 export interface PeerPresenceOptions {
-  readonly peers: PeerBook;
+  readonly peers: PeerConnections;
   readonly logger: Logger;
   readonly nowMs: () => number;
 }
--- a/packages/directory/src/cells.ts
+++ b/packages/directory/src/cells.ts
@@ -6,7 +6,7 @@
 import { rendezvousOrder } from '@shedline/types';
 
 /** An entry and where it stands. */
-export interface PlacedEntry {
+export interface ZonedEntry {
   readonly name: string;
   readonly availabilityZone: string;
 }
@@ -18,7 +18,7 @@
  * Splits the configured entries into cells of about `cellSize`. A fleet that fits into one
  * cell is one cell; otherwise cells do not cross availability zones.
  */
-export function planCells(entries: readonly PlacedEntry[], cellSize: number): Cells {
+export function planCells(entries: readonly ZonedEntry[], cellSize: number): Cells {
   const names = entries.map((entry) => entry.name).sort();
   if (names.length <= cellSize) return new Map([['all', names]]);
   const zones = [...new Set(entries.map((entry) => entry.availabilityZone))].sort();
--- a/packages/directory/src/reach.test.ts
+++ b/packages/directory/src/endpoint-subsets.test.ts
@@ -1,13 +1,13 @@
 import test from 'ava';
 import fc from 'fast-check';
 import { describe, title } from '@shedline/test-utils';
-import { Reach } from './reach.js';
-import type { Placed } from './reach.js';
+import { EndpointSubsets } from './endpoint-subsets.js';
+import type { ZonedName } from './endpoint-subsets.js';
 
 const SEED = 19;
 const ZONES = ['a', 'b', 'c'];
 
-function placed(prefix: string, count: number): Placed[] {
+function placed(prefix: string, count: number): ZonedName[] {
   return Array.from({ length: count }, (_, index) => ({
     name: `${prefix}${index}`,
     availabilityZone: ZONES[index % ZONES.length] ?? '',
@@ -17,14 +17,14 @@
 const entryCount = fc.integer({ min: 1, max: 90 });
 const endpointCount = fc.integer({ min: 0, max: 120 });
 
-describe('Reach', () => {
+describe('EndpointSubsets', () => {
   test(title('is the whole fleet for everybody where the fleet is small'), (t) => {
     const entries = placed('entry', 12);
     const endpoints = placed('endpoint', 30);
-    const reach = new Reach({ entries, endpoints });
+    const subsets = new EndpointSubsets({ entries, endpoints });
     for (const { name } of entries) {
-      t.is(new Set(reach.endpointsOf(name)).size, 30);
-      t.is(reach.peersOf(name).length, 11);
+      t.is(new Set(subsets.endpointsOf(name)).size, 30);
+      t.is(subsets.peersOf(name).length, 11);
     }
   });
 
@@ -33,13 +33,13 @@
       fc.property(entryCount, endpointCount, (entriesTotal, endpointsTotal) => {
         const entries = placed('entry', entriesTotal);
         const endpoints = placed('endpoint', endpointsTotal);
-        const reach = new Reach({ entries, endpoints });
+        const subsets = new EndpointSubsets({ entries, endpoints });
         const zoneOf = new Map(entries.map((one) => [one.name, one.availabilityZone]));
         return endpoints.every(({ name, availabilityZone }) => {
-          const users = reach.entriesOf(name);
+          const users = subsets.entriesOf(name);
           const near = users.filter((entry) => zoneOf.get(entry) === availabilityZone);
           const expected = near.length > 0 ? near : users;
-          return reach.nearEntriesOf(name).join() === expected.join();
+          return subsets.nearEntriesOf(name).join() === expected.join();
         });
       }),
       { seed: SEED },
@@ -52,16 +52,16 @@
       fc.property(entryCount, endpointCount, (entriesTotal, endpointsTotal) => {
         const entries = placed('entry', entriesTotal);
         const endpoints = placed('endpoint', endpointsTotal);
-        const reach = new Reach({ entries, endpoints });
+        const subsets = new EndpointSubsets({ entries, endpoints });
         for (const { name } of entries) {
-          const used = reach.endpointsOf(name);
+          const used = subsets.endpointsOf(name);
           if (new Set(used).size !== used.length) return false;
-          if (!used.every((endpoint) => reach.entriesOf(endpoint).includes(name))) return false;
+          if (!used.every((endpoint) => subsets.entriesOf(endpoint).includes(name))) return false;
         }
         return endpoints.every((endpoint) =>
-          reach
+          subsets
             .entriesOf(endpoint.name)
-            .every((name) => reach.endpointsOf(name).includes(endpoint.name)),
+            .every((name) => subsets.endpointsOf(name).includes(endpoint.name)),
         );
       }),
       { seed: SEED, numRuns: 150 },
@@ -73,8 +73,8 @@
     fc.assert(
       fc.property(fc.integer({ min: 17, max: 90 }), endpointCount, (entriesTotal, total) => {
         const endpoints = placed('endpoint', total);
-        const reach = new Reach({ entries: placed('entry', entriesTotal), endpoints });
-        const users = endpoints.map(({ name }) => reach.entriesOf(name).length);
+        const subsets = new EndpointSubsets({ entries: placed('entry', entriesTotal), endpoints });
+        const users = endpoints.map(({ name }) => subsets.entriesOf(name).length);
         if (users.length === 0) return true;
         const [least, most] = [Math.min(...users), Math.max(...users)];
         return least > 0 && most - least <= 2 + Math.ceil(entriesTotal / total);
@@ -87,24 +87,24 @@
   test(title('bounds the peers of an entry whatever the size of the fleet'), (t) => {
     for (const size of [60, 360, 1000]) {
       const entries = placed('entry', size);
-      const reach = new Reach({ entries, endpoints: placed('endpoint', size) });
-      const counts = entries.map(({ name }) => reach.peersOf(name).length);
+      const subsets = new EndpointSubsets({ entries, endpoints: placed('endpoint', size) });
+      const counts = entries.map(({ name }) => subsets.peersOf(name).length);
       t.true(Math.max(...counts) <= 24, `${Math.max(...counts)} peers of ${size}`);
     }
   });
 
   test(title('leaves no endpoint of a very large fleet without a user'), (t) => {
     const endpoints = placed('endpoint', 12_000);
-    const reach = new Reach({ entries: placed('entry', 360), endpoints });
-    t.true(endpoints.every(({ name }) => reach.entriesOf(name).length > 0));
-    t.true(reach.endpointsOf('entry0').length <= 64);
+    const subsets = new EndpointSubsets({ entries: placed('entry', 360), endpoints });
+    t.true(endpoints.every(({ name }) => subsets.entriesOf(name).length > 0));
+    t.true(subsets.endpointsOf('entry0').length <= 64);
   });
 
   test(title('changes little for an entry when another one goes'), (t) => {
     const entries = placed('entry', 60);
     const endpoints = placed('endpoint', 62);
-    const before = new Reach({ entries, endpoints });
-    const after = new Reach({ entries: entries.slice(1), endpoints });
+    const before = new EndpointSubsets({ entries, endpoints });
+    const after = new EndpointSubsets({ entries: entries.slice(1), endpoints });
     for (const { name } of entries.slice(1)) {
       const kept = after.endpointsOf(name).filter((one) => before.endpointsOf(name).includes(one));
       t.true(kept.length >= after.endpointsOf(name).length - 2);
--- a/packages/directory/src/reach.ts
+++ b/packages/directory/src/endpoint-subsets.ts
@@ -7,15 +7,15 @@
  */
 
 /** A process or an endpoint, and where it stands. */
-export interface Placed {
+export interface ZonedName {
   readonly name: string;
   readonly availabilityZone: string;
 }
 
-/** Options of {@link Reach}. */
-export interface ReachOptions {
-  readonly entries: readonly Placed[];
-  readonly endpoints: readonly Placed[];
+/** Options of {@link EndpointSubsets}. */
+export interface EndpointSubsetsOptions {
+  readonly entries: readonly ZonedName[];
+  readonly endpoints: readonly ZonedName[];
   /** Fleets with no more entries than this are not divided. */
   readonly undividedEntries?: number;
   /** Entries that an endpoint of a divided fleet has as users, on average. */
@@ -39,13 +39,13 @@
 const DEFAULT_MAX_ENDPOINTS = 64;
 
 /** The division of one list of entries and one of endpoints. It never changes. */
-export class Reach {
+export class EndpointSubsets {
   private readonly byEntry = new Map<string, readonly string[]>();
   private readonly byEndpoint = new Map<string, string[]>();
   private readonly byEndpointNear = new Map<string, readonly string[]>();
   private readonly peers = new Map<string, readonly string[]>();
 
-  constructor(options: ReachOptions) {
+  constructor(options: EndpointSubsetsOptions) {
     const entries = inOrder(options.entries);
     const endpoints = inOrder(options.endpoints);
     const count = endpointsPerEntry(entries.length, endpoints.length, options);
@@ -85,7 +85,7 @@
     return peers;
   }
 
-  private noteNear({ entries, endpoints }: ReachOptions): void {
+  private noteNear({ entries, endpoints }: EndpointSubsetsOptions): void {
     const zones = new Map(entries.map(({ name, availabilityZone }) => [name, availabilityZone]));
     for (const { name, availabilityZone } of endpoints) {
       const near = this.entriesOf(name).filter((entry) => zones.get(entry) === availabilityZone);
@@ -94,7 +94,11 @@
   }
 }
 
-function endpointsPerEntry(entries: number, endpoints: number, options: ReachOptions): number {
+function endpointsPerEntry(
+  entries: number,
+  endpoints: number,
+  options: EndpointSubsetsOptions,
+): number {
   const {
     undividedEntries = DEFAULT_UNDIVIDED_ENTRIES,
     usersPerEndpoint = DEFAULT_USERS_PER_ENDPOINT,
@@ -109,8 +113,8 @@
   return Math.min(endpoints, Math.max(needed, bounded));
 }
 
-function inOrder(placed: readonly Placed[]): string[] {
-  const keyOf = (one: Placed): string => `${one.availabilityZone}|${one.name}`;
+function inOrder(placed: readonly ZonedName[]): string[] {
+  const keyOf = (one: ZonedName): string => `${one.availabilityZone}|${one.name}`;
   return [...placed].sort((a, b) => (keyOf(a) < keyOf(b) ? -1 : 1)).map(({ name }) => name);
 }
 
--- a/packages/directory/src/entry-membership.ts
+++ b/packages/directory/src/entry-membership.ts
@@ -8,7 +8,7 @@
 export type PeerState = 'alive' | 'suspect' | 'dead';
 
 /** News about a peer. */
-export interface PeerNews {
+export interface PeerUpdate {
   readonly peer: string;
   readonly state: PeerState;
   /** Raised by the peer alone, to refute a suspicion. */
@@ -21,20 +21,20 @@
       readonly type: 'ping';
       readonly from: string;
       readonly sequence: number;
-      readonly news: readonly PeerNews[];
+      readonly news: readonly PeerUpdate[];
     }
   | {
       readonly type: 'ack';
       readonly from: string;
       readonly sequence: number;
-      readonly news: readonly PeerNews[];
+      readonly news: readonly PeerUpdate[];
     }
   | {
       readonly type: 'pingFor';
       readonly from: string;
       readonly target: string;
       readonly sequence: number;
-      readonly news: readonly PeerNews[];
+      readonly news: readonly PeerUpdate[];
     };
 
 /** A message and whom it goes to. */
@@ -135,10 +135,10 @@
   /** Takes a message; gives the messages to send. */
   receive(message: MembershipMessage, nowMs: number): OutgoingMessage[] {
     this.hearFrom(message.from);
-    for (const news of message.news) this.takeNews(news, nowMs);
+    for (const update of message.news) this.takeUpdate(update, nowMs);
     if (message.type === 'ping') {
       const ack = { type: 'ack', from: this.self, sequence: message.sequence } as const;
-      return [{ to: message.from, message: { ...ack, news: this.newsToSpread() } }];
+      return [{ to: message.from, message: { ...ack, news: this.updatesToSpread() } }];
     }
     if (message.type === 'pingFor') return this.relayProbe(message);
     return this.takeAck(message.sequence, message.from);
@@ -198,7 +198,7 @@
         from: this.self,
         target: probe.peer,
         sequence: probe.sequence,
-        news: this.newsToSpread(),
+        news: this.updatesToSpread(),
       },
     }));
   }
@@ -224,7 +224,7 @@
     if (relayed !== undefined) {
       this.relayed.delete(sequence);
       const ack = { type: 'ack', from: this.self, sequence: relayed.askerSequence } as const;
-      return [{ to: relayed.asker, message: { ...ack, news: this.newsToSpread() } }];
+      return [{ to: relayed.asker, message: { ...ack, news: this.updatesToSpread() } }];
     }
     if (this.probe?.sequence !== sequence) return [];
     const { peer } = this.probe;
@@ -239,10 +239,10 @@
   }
 
   private ping(to: string, sequence: number): OutgoingMessage {
-    const news = this.newsToSpread();
+    const updates = this.updatesToSpread();
     // A peer must hear that it is suspected, or it could not refute it.
-    if (this.peers.get(to)?.state !== 'alive') news.push(this.newsOf(to));
-    return { to, message: { type: 'ping', from: this.self, sequence, news } };
+    if (this.peers.get(to)?.state !== 'alive') updates.push(this.updateOf(to));
+    return { to, message: { type: 'ping', from: this.self, sequence, news: updates } };
   }
 
   private suspect(name: string, nowMs: number): void {
@@ -264,37 +264,37 @@
     this.spreading.set(name, 0);
   }
 
-  private takeNews(news: PeerNews, nowMs: number): void {
-    if (news.peer === this.self) {
-      this.refute(news);
+  private takeUpdate(update: PeerUpdate, nowMs: number): void {
+    if (update.peer === this.self) {
+      this.refute(update);
       return;
     }
-    const peer = this.peers.get(news.peer);
-    if (peer === undefined || !isFresher(news, peer)) return;
-    peer.incarnation = news.incarnation;
-    if (news.state === 'suspect') peer.suspectUntilMs = nowMs + this.suspicionMs;
-    this.setState(news.peer, peer, news.state);
+    const peer = this.peers.get(update.peer);
+    if (peer === undefined || !isFresher(update, peer)) return;
+    peer.incarnation = update.incarnation;
+    if (update.state === 'suspect') peer.suspectUntilMs = nowMs + this.suspicionMs;
+    this.setState(update.peer, peer, update.state);
   }
 
-  private refute(news: PeerNews): void {
-    if (news.state === 'alive') return;
+  private refute(update: PeerUpdate): void {
+    if (update.state === 'alive') return;
     // Whoever still holds old news has missed the refutation: it goes out once more.
-    this.ownIncarnation = Math.max(this.ownIncarnation, news.incarnation + 1);
+    this.ownIncarnation = Math.max(this.ownIncarnation, update.incarnation + 1);
     this.spreading.set(this.self, 0);
   }
 
   /** The news passed on least often so far. */
-  private newsToSpread(): PeerNews[] {
+  private updatesToSpread(): PeerUpdate[] {
     const limit = SPREAD_FACTOR * Math.ceil(Math.log2(this.peers.size + 2));
     const chosen = [...this.spreading].sort((a, b) => a[1] - b[1]).slice(0, MAX_NEWS);
     for (const [name, count] of chosen) {
       if (count + 1 >= limit) this.spreading.delete(name);
       else this.spreading.set(name, count + 1);
     }
-    return chosen.map(([name]) => this.newsOf(name));
+    return chosen.map(([name]) => this.updateOf(name));
   }
 
-  private newsOf(name: string): PeerNews {
+  private updateOf(name: string): PeerUpdate {
     const peer = this.peers.get(name);
     if (peer === undefined) return { peer: name, state: 'alive', incarnation: this.ownIncarnation };
     return { peer: name, state: peer.state, incarnation: peer.incarnation };
@@ -304,7 +304,7 @@
 const SEVERITY: Readonly<Record<PeerState, number>> = { alive: 0, suspect: 1, dead: 2 };
 
 /** News wins by a higher incarnation, or at the same one by being worse. */
-function isFresher(news: PeerNews, known: Peer): boolean {
-  if (news.incarnation !== known.incarnation) return news.incarnation > known.incarnation;
-  return SEVERITY[news.state] > SEVERITY[known.state];
+function isFresher(update: PeerUpdate, known: Peer): boolean {
+  if (update.incarnation !== known.incarnation) return update.incarnation > known.incarnation;
+  return SEVERITY[update.state] > SEVERITY[known.state];
 }
--- a/packages/directory/src/index.ts
+++ b/packages/directory/src/index.ts
@@ -5,4 +5,4 @@
 export * from './endpoint-directory.js';
 export * from './lease-clock.js';
 export * from './entry-membership.js';
-export * from './reach.js';
+export * from './endpoint-subsets.js';
--- a/packages/entry/src/admission-desk.ts
+++ b/packages/entry/src/admission-controller.ts
@@ -9,8 +9,8 @@
 import type { ServiceRow } from '@shedline/types';
 import type { FleetView } from './fleet-view.js';
 
-/** Options of {@link AdmissionDesk}. */
-export interface AdmissionDeskOptions {
+/** Options of {@link AdmissionController}. */
+export interface AdmissionControllerOptions {
   readonly fleet: FleetView;
   readonly holder: QuotaHolder;
   readonly metrics: EntryMetrics;
@@ -18,7 +18,7 @@
 }
 
 /** Decides which online requests may run. */
-export class AdmissionDesk {
+export class AdmissionController {
   readonly limits: RowLimits;
   private readonly fleet: FleetView;
   private readonly metrics: EntryMetrics;
@@ -26,7 +26,7 @@
   private readonly gates = new Map<string, OverloadGate>();
   private readonly budgets = new Map<string, RetryBudget>();
 
-  constructor(options: AdmissionDeskOptions) {
+  constructor(options: AdmissionControllerOptions) {
     this.fleet = options.fleet;
     this.metrics = options.metrics;
     this.nowMs = options.nowMs;
--- a/packages/entry/src/announcement-spreader.ts
+++ b/packages/entry/src/announcement-spreader.ts
@@ -3,7 +3,7 @@
  * when something changed and now and then, short heartbeats otherwise.
  */
 import { cellOf, cellOfEndpoint, planCells } from '@shedline/directory';
-import type { Cells, Heartbeat, PlacedEntry } from '@shedline/directory';
+import type { Cells, Heartbeat, ZonedEntry } from '@shedline/directory';
 import type { Announcement } from '@shedline/types';
 
 /** Heartbeats of an endpoint between two whole announcements. */
@@ -18,7 +18,7 @@
 /** Options of {@link AnnouncementSpreader}. */
 export interface AnnouncementSpreaderOptions {
   readonly self: string;
-  readonly entries: readonly PlacedEntry[];
+  readonly entries: readonly ZonedEntry[];
   readonly cellSize: number;
 }
 
--- a/packages/entry/src/completions.ts
+++ b/packages/entry/src/completions.ts
@@ -154,7 +154,7 @@
   ): Promise<OnlineAnswer> {
     const { context } = this.options;
     const run = new OnlineRun(context, { ...prepared.request, signal, onToken });
-    return context.desk.run(prepared.row, prepared.session !== undefined, () => run.run());
+    return context.admission.run(prepared.row, prepared.session !== undefined, () => run.run());
   }
 
   private async stream(
--- a/packages/entry/src/entry-node.ts
+++ b/packages/entry/src/entry-node.ts
@@ -16,7 +16,7 @@
 import type { AddressCandidate, RoutingStrategy } from '@shedline/routing';
 import type { EntryStatus } from '@shedline/table';
 import type { Announcement } from '@shedline/types';
-import { AdmissionDesk } from './admission-desk.js';
+import { AdmissionController } from './admission-controller.js';
 import { Authenticator } from './auth.js';
 import { BatchRunner } from './batch-runner.js';
 import { CallClaimer } from './call-claimer.js';
@@ -66,7 +66,7 @@
   private readonly burn = new BurnRecorder();
   private readonly metrics: EntryMetrics;
   private readonly peers: EntryPeers;
-  private readonly desk: AdmissionDesk;
+  private readonly admission: AdmissionController;
   private readonly driver = new OpenAiDriver();
   private readonly reader: TableReader;
   private server: ServerType | undefined;
@@ -116,7 +116,7 @@
         this.batch.yieldAt(endpointId);
       },
     });
-    this.desk = new AdmissionDesk({
+    this.admission = new AdmissionController({
       fleet: this.fleet,
       holder: this.peers.holder,
       metrics: this.metrics,
@@ -133,7 +133,7 @@
   /** Reads the table through the quorum, learns the endpoints from a peer, then serves. */
   async start(): Promise<void> {
     await this.firstRefresh();
-    await this.peers.start(this.desk.limits);
+    await this.peers.start(this.admission.limits);
     await this.peers.learnEndpoints();
     const listening = await this.listen();
     this.url = `http://${this.entry.listenHost}:${listening.port}`;
@@ -226,7 +226,7 @@
     return {
       fleet: this.fleet,
       reader: this.reader,
-      desk: this.desk,
+      admission: this.admission,
       driver: this.driver,
       logger: this.logger,
       latencies: this.latencies,
--- a/packages/entry/src/entry-peers.ts
+++ b/packages/entry/src/entry-peers.ts
@@ -3,10 +3,10 @@
  * under way, shares of limits, and calls to yield.
  */
 import { QuotaHolder, QuotaOwner, limitKey } from '@shedline/admission';
-import type { QuotaAnswer, QuotaAsk, RowLimits } from '@shedline/admission';
+import type { QuotaAnswer, QuotaRequest, RowLimits } from '@shedline/admission';
 import type { EntrySettings, Settings } from '@shedline/config';
 import { EntryMembership } from '@shedline/directory';
-import type { MembershipMessage, OutgoingMessage, PlacedEntry } from '@shedline/directory';
+import type { MembershipMessage, OutgoingMessage, ZonedEntry } from '@shedline/directory';
 import { ShedlineError } from '@shedline/errors';
 import type { Logger } from '@shedline/logger';
 import type { BurnRecorder, BurnSeries } from '@shedline/metrics';
@@ -280,7 +280,7 @@
   private onRequest(method: string, payload: unknown): Promise<unknown> {
     const nowMs = this.options.nowMs();
     if (method === 'quota') {
-      const asks = payload as QuotaAsk[];
+      const asks = payload as QuotaRequest[];
       return Promise.resolve(asks.map((ask) => this.owner.ask(ask, nowMs)));
     }
     if (method === 'table') return Promise.resolve(this.options.tableForPeer(payload as number));
@@ -374,11 +374,11 @@
     }
   }
 
-  private asksFor(limits: RowLimits, nowMs: number): QuotaAsk[] {
+  private asksFor(limits: RowLimits, nowMs: number): QuotaRequest[] {
     const { table } = this.options.fleet;
     const token = this.holder.lastToken;
     const common = { entry: this.self, ...(token === undefined ? {} : { token }) };
-    const asks = limits.demands(nowMs).flatMap(({ row, kind, demand }): QuotaAsk[] => {
+    const asks = limits.demands(nowMs).flatMap(({ row, kind, demand }): QuotaRequest[] => {
       const known = table.row(row);
       if (known === undefined) return [];
       const { revision } = known;
@@ -390,7 +390,7 @@
 
   private async sendAsks(
     owner: string,
-    asks: readonly QuotaAsk[],
+    asks: readonly QuotaRequest[],
     nowMs: number,
   ): Promise<QuotaAnswer[]> {
     if (owner === this.self) return asks.map((ask) => this.owner.ask(ask, nowMs));
@@ -404,7 +404,7 @@
 }
 
 /** All entries of the settings; one without a zone of its own stands in this one's. */
-function placedEntries(settings: Settings, entry: EntrySettings): PlacedEntry[] {
+function placedEntries(settings: Settings, entry: EntrySettings): ZonedEntry[] {
   const own = { name: settings.name, availabilityZone: settings.availabilityZone };
   const others = entry.peers
     .filter((peer) => peer.name !== settings.name)
--- a/packages/entry/src/online-run.ts
+++ b/packages/entry/src/online-run.ts
@@ -10,7 +10,7 @@
 import { prefixHashes, rowKey } from '@shedline/types';
 import type { ServiceRow } from '@shedline/types';
 import type { KnownEndpoint } from '@shedline/directory';
-import type { AdmissionDesk } from './admission-desk.js';
+import type { AdmissionController } from './admission-controller.js';
 import type { Usage } from './answer-check.js';
 import type { EndpointDriver, GenerateOutcome } from './endpoint-driver.js';
 import type { FleetView } from './fleet-view.js';
@@ -20,7 +20,7 @@
 export interface OnlineContext {
   readonly fleet: FleetView;
   readonly reader: TableReader;
-  readonly desk: AdmissionDesk;
+  readonly admission: AdmissionController;
   readonly driver: EndpointDriver;
   readonly logger: Logger;
   readonly latencies: LatencyRecorder;
@@ -198,9 +198,9 @@
     outcome: GenerateOutcome & { kind: 'complete' },
     endpointId: string,
   ): OnlineAnswer {
-    const { desk, latencies, logger, nowMs } = this.context;
+    const { admission, latencies, logger, nowMs } = this.context;
     const usedTokens = outcome.usage?.total_tokens ?? this.tokens.length;
-    desk.charge(this.service, usedTokens, this.tokens.length);
+    admission.charge(this.service, usedTokens, this.tokens.length);
     const durationMs = nowMs() - this.startedMs;
     latencies.record(this.service, 'online', 'wholeAnswer', durationMs);
     logger.debug('request completed', {
@@ -247,7 +247,7 @@
       leftMs: this.leftMs(),
       hasAlternative: this.chooseEndpoint() !== undefined,
     });
-    return allowed && this.context.desk.budgetOf(this.service).takeRetry();
+    return allowed && this.context.admission.budgetOf(this.service).takeRetry();
   }
 
   private noEndpoint(): ShedlineError {
--- a/packages/entry/src/service-calls.ts
+++ b/packages/entry/src/service-calls.ts
@@ -122,11 +122,11 @@
   }
 
   private admitAndSend(call: PreparedCall): Promise<Answered> {
-    return this.options.context.desk.run(call.row, false, () => this.send(call));
+    return this.options.context.admission.run(call.row, false, () => this.send(call));
   }
 
   private async send(call: PreparedCall): Promise<Answered> {
-    const { fleet, driver, nowMs, desk } = this.options.context;
+    const { fleet, driver, nowMs, admission } = this.options.context;
     const key = rowKey(call.row.workspace, call.row.service);
     const startedMs = nowMs();
     const sends: SendProgress[] = [];
@@ -157,7 +157,7 @@
           maxAttempts: MAX_ATTEMPTS,
           leftMs,
           hasAlternative: fleet.route({ ...query, excluded }, nowMs()) !== undefined,
-        }) && desk.budgetOf(key).takeRetry();
+        }) && admission.budgetOf(key).takeRetry();
       if (!goOn) throw callFailed(endpointId, outcome.message, sends, leftMs);
     }
   }
--- a/packages/fleet-control/src/control-process.ts
+++ b/packages/fleet-control/src/control-process.ts
@@ -8,7 +8,7 @@
 import { instanceOf } from '@shedline/consensus';
 import { LeaderCaller } from '@shedline/control-client';
 import type { CallPort } from '@shedline/control-client';
-import { EndpointRegister, UNTOLD_START_MS, configurationProblem, runIdOf } from '@shedline/fleet';
+import { EndpointRegistry, UNKNOWN_START_MS, configurationProblem, runIdOf } from '@shedline/fleet';
 import type {
   AgedHeartbeat,
   Configuration,
@@ -21,19 +21,19 @@
 } from '@shedline/fleet';
 import type { Logger } from '@shedline/logger';
 import { ProcessMetrics } from '@shedline/metrics';
-import type { Link, PeerAddress, PeerBook } from '@shedline/transport';
+import type { Link, PeerAddress, PeerConnections } from '@shedline/transport';
 import { EndpointMemory } from './endpoint-memory.js';
-import type { QuotaAsk, UsageReport } from '@shedline/quota';
+import type { QuotaRequest, UsageReport } from '@shedline/quota';
 import { FleetGroup, FLEET_GROUP } from './machines.js';
 import { groupSettings } from './group-settings.js';
 import { HeartbeatOutbox } from './heartbeat-outbox.js';
 import { portsOf } from './peer-ports.js';
 import { peerAddressFromName, seedAddresses } from './ports.js';
 import { ProcessCore } from './process-core.js';
-import { StoreKeeper } from './store-keeper.js';
-import { QuotaKeeper } from './quota-keeper.js';
+import { StoreLifecycle } from './store-lifecycle.js';
+import { QuotaCounter } from './quota-counter.js';
 import { quotaTolerance } from './quota-settings.js';
-import type { RetireOutcome, RetireProgress } from './store-keeper.js';
+import type { RetireOutcome, RetireProgress } from './store-lifecycle.js';
 import type { RefreshAnswer, RefreshRequest, StateAnswer } from './protocol.js';
 
 /** Operators and endpoints wait a second; an answer must come before that. */
@@ -63,17 +63,17 @@
   private readonly settings: FleetSettings;
   private readonly logger: Logger;
   private readonly nowMs: () => number;
-  private readonly register: EndpointRegister;
+  private readonly registry: EndpointRegistry;
   private readonly outbox: HeartbeatOutbox;
   private readonly memory: EndpointMemory | undefined;
   private readonly groups: GroupNode | undefined;
   private readonly machine: FleetGroup;
   private readonly caller: LeaderCaller;
-  private readonly quotas: QuotaKeeper;
+  private readonly quotas: QuotaCounter;
   /** Formation and retirement of stores. */
-  readonly storeKeeper: StoreKeeper;
+  readonly storeLifecycle: StoreLifecycle;
   /** Connections to the stores, made when one of them retires. */
-  private readonly stores: PeerBook;
+  private readonly stores: PeerConnections;
   private pushed: FleetPosition = { version: -1, leaveCount: 0 };
   private timer: NodeJS.Timeout | undefined;
   private isPushDue = false;
@@ -97,14 +97,14 @@
       },
       coreMembers: () => this.coreMembers(),
     });
-    this.stores = this.core.createPeerBook();
-    this.register = new EndpointRegister(this.core.epoch);
+    this.stores = this.core.createPeerConnections();
+    this.registry = new EndpointRegistry(this.core.epoch);
     this.outbox = this.createOutbox();
     this.memory = this.createMemory();
     this.machine = new FleetGroup(() => {
       this.pushSoon();
     });
-    this.storeKeeper = new StoreKeeper({
+    this.storeLifecycle = new StoreLifecycle({
       state: this.machine.state,
       toleratedLosses: this.settings.toleratedLosses,
       logger: this.logger,
@@ -128,7 +128,7 @@
     this.core.start();
     this.quotas.start();
     this.timer = setInterval(() => {
-      this.register.forgetSilent(this.nowMs());
+      this.registry.forgetSilent(this.nowMs());
     }, FORGET_INTERVAL_MS);
     await this.groups?.join();
     this.core.mesh.setState('ready');
@@ -173,9 +173,9 @@
 
   /** Takes a heartbeat of an endpoint and passes it on. */
   takeHeartbeat(heartbeat: EndpointHeartbeat): void {
-    const known = this.register.runOf(heartbeat.endpointId);
+    const known = this.registry.runOf(heartbeat.endpointId);
     const isNew = known?.startedAtMs !== heartbeat.startedAtMs;
-    if (!this.register.hear(heartbeat, 0, this.nowMs())) return;
+    if (!this.registry.hear(heartbeat, 0, this.nowMs())) return;
     // Others ask for what is known at short intervals; only news is worth a message to each.
     this.outbox.add(heartbeat, isNew);
   }
@@ -196,7 +196,7 @@
    * that has just started may be told of a leave before it hears a heartbeat.
    */
   async runOf(endpointId: string): Promise<EndpointRun> {
-    const known = this.register.runOf(endpointId);
+    const known = this.registry.runOf(endpointId);
     if (known !== undefined) return known;
     const asked = this.core.mesh.controls.ready.map(async (control) => {
       try {
@@ -209,13 +209,16 @@
       }
     });
     const runs = (await Promise.all(asked)).flatMap((run) => run ?? []);
-    const untold = { endpointId, startedAtMs: UNTOLD_START_MS };
-    return runs.reduce((last, run) => (run.startedAtMs > last.startedAtMs ? run : last), untold);
+    const unknownStart = { endpointId, startedAtMs: UNKNOWN_START_MS };
+    return runs.reduce(
+      (last, run) => (run.startedAtMs > last.startedAtMs ? run : last),
+      unknownStart,
+    );
   }
 
-  /** Has the store of an instance emptied; see {@link StoreKeeper.retire}. */
+  /** Has the store of an instance emptied; see {@link StoreLifecycle.retire}. */
   retire(instance: string): Promise<RetireOutcome> {
-    if (this.groups !== undefined) return this.storeKeeper.retire(instance);
+    if (this.groups !== undefined) return this.storeLifecycle.retire(instance);
     return this.callLeader('retire', instance) as Promise<RetireOutcome>;
   }
 
@@ -224,7 +227,7 @@
    * does not know what was asked for: it answered that nothing was.
    */
   async retirement(instance: string): Promise<RetireProgress | undefined> {
-    if (this.groups !== undefined) return this.storeKeeper.retirement(instance);
+    if (this.groups !== undefined) return this.storeLifecycle.retirement(instance);
     return ((await this.callLeader('retirement', instance)) as RetireProgress | null) ?? undefined;
   }
 
@@ -245,9 +248,9 @@
     }
   }
 
-  private createQuotas(): QuotaKeeper {
+  private createQuotas(): QuotaCounter {
     const { logger, nowMs, core } = this;
-    return new QuotaKeeper({
+    return new QuotaCounter({
       tolerance: quotaTolerance(this.settings),
       logger,
       nowMs,
@@ -295,8 +298,8 @@
   private createMemory(): EndpointMemory | undefined {
     const { dataDir, heartbeatMs } = this.settings;
     if (dataDir === undefined) return undefined;
-    const { register, logger, nowMs } = this;
-    return new EndpointMemory({ dataDir, register, heartbeatMs, logger, nowMs });
+    const { registry, logger, nowMs } = this;
+    return new EndpointMemory({ dataDir, registry, heartbeatMs, logger, nowMs });
   }
 
   private createGroups(random: () => number): GroupNode | undefined {
@@ -315,7 +318,7 @@
         findCluster: (hello) => this.findCluster(hello),
         roleChanged: () => undefined,
         leaderTick: (host, nowMs) => {
-          const command = this.storeKeeper.clusterToForm(nowMs);
+          const command = this.storeLifecycle.clusterToForm(nowMs);
           if (command !== undefined) this.groups?.inBackground(host.propose(command));
         },
         housekeep: () => undefined,
@@ -346,11 +349,11 @@
     this.isPushDue = true;
     setImmediate(() => {
       this.isPushDue = false;
-      this.pushNews();
+      this.pushChanges();
     });
   }
 
-  private pushNews(): void {
+  private pushChanges(): void {
     const delta = this.machine.state.deltaSince(this.pushed);
     this.pushed = delta.position;
     this.core.broadcast('fleetNews', delta);
@@ -365,13 +368,13 @@
       case 'fleetState':
         return this.stateSince(payload as FleetPosition);
       case 'retire':
-        return this.leaderStoreKeeper(method).retire(payload as string);
+        return this.leaderStoreLifecycle(method).retire(payload as string);
       case 'retirement':
-        return (await this.leaderStoreKeeper(method).retirement(payload as string)) ?? null;
+        return (await this.leaderStoreLifecycle(method).retirement(payload as string)) ?? null;
       case 'endpointRun':
-        return this.register.runOf(payload as string) ?? null;
+        return this.registry.runOf(payload as string) ?? null;
       case 'quotaAsk':
-        return this.quotas.answer(payload as QuotaAsk);
+        return this.quotas.answer(payload as QuotaRequest);
       case 'fleetPropose':
         return this.leader(method).propose(payload);
       case 'fleetDelta':
@@ -388,7 +391,7 @@
   private refresh(request: RefreshRequest): RefreshAnswer {
     return {
       ...this.stateSince(request.position),
-      endpoints: this.register.since(request.epoch, request.cursor, this.nowMs()),
+      endpoints: this.registry.since(request.epoch, request.cursor, this.nowMs()),
     };
   }
 
@@ -422,9 +425,9 @@
     return this.machine.state.deltaSince(position);
   }
 
-  private leaderStoreKeeper(step: string): StoreKeeper {
+  private leaderStoreLifecycle(step: string): StoreLifecycle {
     if (!this.leader(step).isLeading) throw this.core.unavailable(step, 'does not lead');
-    return this.storeKeeper;
+    return this.storeLifecycle;
   }
 
   private leader(step: string): GroupHost {
@@ -443,7 +446,7 @@
     if (method === 'quotaUse') this.takeUsage(payload as UsageReport[], link);
     if (method !== 'heartbeats') return;
     for (const { heartbeat, ageMs } of payload as AgedHeartbeat[]) {
-      this.register.hear(heartbeat, ageMs, this.nowMs());
+      this.registry.hear(heartbeat, ageMs, this.nowMs());
     }
   }
 }
--- a/packages/fleet-control/src/endpoint-memory.ts
+++ b/packages/fleet-control/src/endpoint-memory.ts
@@ -4,8 +4,8 @@
  * read back counts as one heartbeat old, so an endpoint that is gone is soon forgotten; a
  * request that reaches another run at its address is refused by that.
  */
-import { UNTOLD_START_MS, runIdOf } from '@shedline/fleet';
-import type { EndpointHeartbeat, EndpointRegister } from '@shedline/fleet';
+import { UNKNOWN_START_MS, runIdOf } from '@shedline/fleet';
+import type { EndpointHeartbeat, EndpointRegistry } from '@shedline/fleet';
 import type { Logger } from '@shedline/logger';
 import { NodeFileSystem } from '@shedline/storage';
 
@@ -19,7 +19,7 @@
 /** Options of {@link EndpointMemory}. */
 export interface EndpointMemoryOptions {
   readonly dataDir: string;
-  readonly register: EndpointRegister;
+  readonly registry: EndpointRegistry;
   readonly heartbeatMs: number;
   readonly logger: Logger;
   readonly nowMs: () => number;
@@ -43,9 +43,9 @@
 
   /** Reads what an earlier run of the process heard. */
   async restore(): Promise<void> {
-    const { register, heartbeatMs, logger, nowMs } = this.options;
+    const { registry, heartbeatMs, logger, nowMs } = this.options;
     const heartbeats = await this.read();
-    for (const heartbeat of heartbeats) register.hear(heartbeat, heartbeatMs, nowMs());
+    for (const heartbeat of heartbeats) registry.hear(heartbeat, heartbeatMs, nowMs());
     logger.info('endpoints of an earlier run', { step: 'start', endpoints: heartbeats.length });
   }
 
@@ -61,8 +61,8 @@
 
   /** Writes the endpoints if others came or went since the last time. */
   async save(): Promise<void> {
-    const { register, logger, nowMs } = this.options;
-    const { heartbeats } = register.since('', 0, nowMs());
+    const { registry, logger, nowMs } = this.options;
+    const { heartbeats } = registry.since('', 0, nowMs());
     const names = heartbeats.map(({ heartbeat }) => runIdOf(heartbeat)).join();
     if (names === this.savedNames || this.isSaving) return;
     this.isSaving = true;
@@ -98,7 +98,7 @@
 
 /** Earlier programs wrote no start. */
 function withStart(heard: SavedHeartbeat): EndpointHeartbeat {
-  return { ...heard, startedAtMs: heard.startedAtMs ?? UNTOLD_START_MS };
+  return { ...heard, startedAtMs: heard.startedAtMs ?? UNKNOWN_START_MS };
 }
 
 function isHeartbeat(value: unknown): value is SavedHeartbeat {
@@ -107,6 +107,6 @@
     value as Partial<EndpointHeartbeat>;
   return (
     [endpointId, service, address, availabilityZone].every((text) => typeof text === 'string') &&
-    [slots, sequence, startedAtMs ?? UNTOLD_START_MS].every((number) => Number.isInteger(number))
+    [slots, sequence, startedAtMs ?? UNKNOWN_START_MS].every((number) => Number.isInteger(number))
   );
 }
--- a/packages/fleet-control/src/peer-ports.ts
+++ b/packages/fleet-control/src/peer-ports.ts
@@ -2,12 +2,12 @@
  * The peers of a process as places to call.
  */
 import type { CallPort } from '@shedline/control-client';
-import type { PeerBook } from '@shedline/transport';
+import type { PeerConnections } from '@shedline/transport';
 
 /** A port for each peer. */
-export function portsOf(book: PeerBook): CallPort[] {
-  return book.names.flatMap((name): CallPort[] => {
-    const client = book.get(name);
+export function portsOf(connections: PeerConnections): CallPort[] {
+  return connections.names.flatMap((name): CallPort[] => {
+    const client = connections.get(name);
     if (client === undefined) return [];
     return [
       {
--- a/packages/fleet-control/src/process-core.ts
+++ b/packages/fleet-control/src/process-core.ts
@@ -7,8 +7,8 @@
 import type { Logger } from '@shedline/logger';
 import { Mesh } from '@shedline/mesh';
 import type { MemberKind, MemberRecord, MeshOptions } from '@shedline/mesh';
-import { PeerBook, PeerServer } from '@shedline/transport';
-import type { Link, LinkHandlers, PeerBookOptions } from '@shedline/transport';
+import { PeerConnections, PeerServer } from '@shedline/transport';
+import type { Link, LinkHandlers, PeerConnectionsOptions } from '@shedline/transport';
 import { peerAddressOf, seedAddresses } from './ports.js';
 
 const EPOCH_BYTES = 6;
@@ -37,7 +37,7 @@
   readonly mesh: Mesh;
   readonly server: PeerServer;
   private readonly options: ProcessCoreOptions;
-  private readonly peerOptions: Pick<PeerBookOptions, 'secret' | 'localAddress'>;
+  private readonly peerOptions: Pick<PeerConnectionsOptions, 'secret' | 'localAddress'>;
 
   constructor(options: ProcessCoreOptions) {
     const { kind, settings, logger, nowMs, handlers } = options;
@@ -90,11 +90,11 @@
   }
 
   /** Connections of this process to some of its peers. */
-  createPeerBook(
-    options: Pick<PeerBookOptions, 'handlers' | 'lingerMs' | 'use' | 'firstRetryMs'> = {},
-  ): PeerBook {
+  createPeerConnections(
+    options: Pick<PeerConnectionsOptions, 'handlers' | 'lingerMs' | 'use' | 'firstRetryMs'> = {},
+  ): PeerConnections {
     const { logger } = this.options;
-    return new PeerBook({
+    return new PeerConnections({
       name: this.name,
       ...this.peerOptions,
       onLost: (peer, loss) => {
--- a/packages/fleet-control/src/protocol.ts
+++ b/packages/fleet-control/src/protocol.ts
@@ -1,7 +1,7 @@
 /**
  * Requests between the processes of a fleet.
  */
-import type { FleetDelta, FleetPosition, RegisterDelta } from '@shedline/fleet';
+import type { FleetDelta, FleetPosition, RegistryDelta } from '@shedline/fleet';
 import type {
   CommitRuns,
   ItemProgress,
@@ -31,7 +31,7 @@
 
 /** What is new since. */
 export interface RefreshAnswer extends StateAnswer {
-  readonly endpoints: RegisterDelta;
+  readonly endpoints: RegistryDelta;
 }
 
 /** A job as an entry submits it; the leader adds its clock. */
--- a/packages/fleet-control/src/quota-keeper.ts
+++ b/packages/fleet-control/src/quota-counter.ts
@@ -4,10 +4,10 @@
  */
 import type { Logger } from '@shedline/logger';
 import { NEAR_INTERVAL_MS, RequestLedger } from '@shedline/quota';
-import type { QuotaAnswer, QuotaAsk, QuotaTolerance, UsageReport } from '@shedline/quota';
+import type { QuotaAnswer, QuotaRequest, QuotaTolerance, UsageReport } from '@shedline/quota';
 
-/** Options of {@link QuotaKeeper}. */
-export interface QuotaKeeperOptions {
+/** Options of {@link QuotaCounter}. */
+export interface QuotaCounterOptions {
   readonly tolerance: QuotaTolerance;
   readonly logger: Logger;
   readonly nowMs: () => number;
@@ -16,13 +16,13 @@
 }
 
 /** The counts that one control process keeps. */
-export class QuotaKeeper {
-  private readonly options: QuotaKeeperOptions;
+export class QuotaCounter {
+  private readonly options: QuotaCounterOptions;
   private readonly ledger: RequestLedger;
   private announced = new Set<string>();
   private timer: NodeJS.Timeout | undefined;
 
-  constructor(options: QuotaKeeperOptions) {
+  constructor(options: QuotaCounterOptions) {
     this.options = options;
     const { tolerance, nowMs } = options;
     this.ledger = new RequestLedger({ tolerance, startedAtMs: nowMs() });
@@ -58,10 +58,10 @@
   }
 
   /** Lets requests pass as far as there is room. */
-  answer(ask: QuotaAsk): QuotaAnswer {
-    const answer = this.ledger.ask(ask, this.options.nowMs());
-    if (answer.granted < ask.wanted && !this.announced.has(ask.workspace)) {
-      this.announceNew([ask.workspace]);
+  answer(request: QuotaRequest): QuotaAnswer {
+    const answer = this.ledger.ask(request, this.options.nowMs());
+    if (answer.granted < request.wanted && !this.announced.has(request.workspace)) {
+      this.announceNew([request.workspace]);
     }
     return answer;
   }
--- a/packages/fleet-control/src/store-keeper.ts
+++ b/packages/fleet-control/src/store-lifecycle.ts
@@ -7,7 +7,7 @@
 import type { FleetCommand, FleetState } from '@shedline/fleet';
 import type { Logger } from '@shedline/logger';
 import type { MemberRecord } from '@shedline/mesh';
-import type { PeerBook } from '@shedline/transport';
+import type { PeerConnections } from '@shedline/transport';
 import { isEmptied } from './retirement.js';
 import { StoreFormation } from './store-formation.js';
 
@@ -20,24 +20,24 @@
 /** How far the emptying of a store is. */
 export type RetireProgress = 'running' | 'complete';
 
-/** Options of {@link StoreKeeper}. */
-export interface StoreKeeperOptions {
+/** Options of {@link StoreLifecycle}. */
+export interface StoreLifecycleOptions {
   readonly state: FleetState;
   readonly toleratedLosses: number;
   readonly logger: Logger;
   /** Stores that are up. */
   readonly liveStores: () => readonly MemberRecord[];
   /** Connections to the stores, made when one of them retires. */
-  readonly stores: PeerBook;
+  readonly stores: PeerConnections;
   readonly propose: (command: FleetCommand) => Promise<unknown>;
 }
 
 /** Formation and retirement of stores. */
-export class StoreKeeper {
-  private readonly options: StoreKeeperOptions;
+export class StoreLifecycle {
+  private readonly options: StoreLifecycleOptions;
   private readonly formation = new StoreFormation();
 
-  constructor(options: StoreKeeperOptions) {
+  constructor(options: StoreLifecycleOptions) {
     this.options = options;
   }
 
@@ -87,12 +87,12 @@
 
   /** State of the groups at each store that answers. */
   private async storeStatuses(members: readonly MemberRecord[]): Promise<GroupStatus[]> {
-    const book = this.options.stores;
-    for (const { name, host, port } of members) book.add({ name, host, port });
-    book.keepOnly(new Set(members.map((member) => member.name)));
+    const connections = this.options.stores;
+    for (const { name, host, port } of members) connections.add({ name, host, port });
+    connections.keepOnly(new Set(members.map((member) => member.name)));
     const asked = members.map(async ({ name }) => {
       try {
-        return (await book.get(name)?.request('groupStatuses', {}, STATUS_TIMEOUT_MS)) as
+        return (await connections.get(name)?.request('groupStatuses', {}, STATUS_TIMEOUT_MS)) as
           GroupStatus[] | undefined;
       } catch (error) {
         const reason = error instanceof Error ? error.message : String(error);
--- a/packages/fleet-control/src/store-process.ts
+++ b/packages/fleet-control/src/store-process.ts
@@ -9,7 +9,7 @@
 import type { FleetDelta } from '@shedline/fleet';
 import type { Logger } from '@shedline/logger';
 import { ProcessMetrics } from '@shedline/metrics';
-import type { PeerBook } from '@shedline/transport';
+import type { PeerConnections } from '@shedline/transport';
 import type { WholeJobCommand } from '@shedline/whole-jobs';
 import { WholeJobGroup } from './machines.js';
 import { groupSettings } from './group-settings.js';
@@ -49,7 +49,7 @@
   private readonly settings: FleetSettings;
   private readonly logger: Logger;
   private readonly nowMs: () => number;
-  private readonly stores: PeerBook;
+  private readonly stores: PeerConnections;
   private readonly groups: GroupNode;
   private readonly state: StateReader;
   private readonly requests: JobRequests;
@@ -78,7 +78,7 @@
         this.connectStores();
       },
     });
-    this.stores = this.core.createPeerBook({ use: 'news' });
+    this.stores = this.core.createPeerConnections({ use: 'news' });
     this.requests = new JobRequests({
       nowMs: this.nowMs,
       unavailable: (step, message, leader) => this.core.unavailable(step, message, leader),
--- a/packages/fleet/src/endpoint-register.ts
+++ b/packages/fleet/src/endpoint-registry.ts
@@ -25,7 +25,7 @@
 }
 
 /** Heartbeats since a cursor. */
-export interface RegisterDelta {
+export interface RegistryDelta {
   /** Names the register; cursors of another one mean nothing. */
   readonly epoch: string;
   readonly cursor: number;
@@ -42,7 +42,7 @@
 }
 
 /** Latest heartbeat of the latest run of each endpoint. */
-export class EndpointRegister {
+export class EndpointRegistry {
   private readonly epoch: string;
   private readonly heard = new Map<string, Heard>();
   private counter = 0;
@@ -67,7 +67,7 @@
   }
 
   /** Heartbeats after a cursor of the same epoch; all where the epoch differs. */
-  since(epoch: string, cursor: number, nowMs: number): RegisterDelta {
+  since(epoch: string, cursor: number, nowMs: number): RegistryDelta {
     const from = epoch === this.epoch ? cursor : 0;
     const heartbeats: AgedHeartbeat[] = [];
     for (const { heartbeat, heardAtMs, number } of this.heard.values()) {
--- a/packages/fleet/src/endpoint-run.ts
+++ b/packages/fleet/src/endpoint-run.ts
@@ -5,7 +5,7 @@
  */
 
 /** Start of a run whose endpoint does not tell it; older than any start that is told. */
-export const UNTOLD_START_MS = 0;
+export const UNKNOWN_START_MS = 0;
 
 const SEPARATOR = '#';
 
@@ -15,14 +15,14 @@
   readonly endpointId: string;
   /**
    * Unix time at which the run started, by the clock of the endpoint; it only tells runs of one id
-   * apart. {@link UNTOLD_START_MS} where it is not told.
+   * apart. {@link UNKNOWN_START_MS} where it is not told.
    */
   readonly startedAtMs: number;
 }
 
 /** Key of a run, the same in every process. */
 export function runIdOf({ endpointId, startedAtMs }: EndpointRun): string {
-  const isPlain = startedAtMs === UNTOLD_START_MS && !endpointId.includes(SEPARATOR);
+  const isPlain = startedAtMs === UNKNOWN_START_MS && !endpointId.includes(SEPARATOR);
   return isPlain ? endpointId : `${endpointId}${SEPARATOR}${startedAtMs}`;
 }
 
--- a/packages/fleet/src/fleet-state.ts
+++ b/packages/fleet/src/fleet-state.ts
@@ -7,7 +7,7 @@
 import type { CrashChanges, CrashCommand, CrashRecordsData } from '@shedline/quarantine';
 import { match } from 'ts-pattern';
 import type { Configuration } from './configuration.js';
-import { UNTOLD_START_MS, runIdOf } from './endpoint-run.js';
+import { UNKNOWN_START_MS, runIdOf } from './endpoint-run.js';
 import type { EndpointRun } from './endpoint-run.js';
 
 /** Leave records kept; an endpoint is gone long before its record is dropped. */
@@ -217,7 +217,7 @@
     return true;
   }
 
-  private recordLeave({ endpointId, startedAtMs = UNTOLD_START_MS }: RecordLeave): boolean {
+  private recordLeave({ endpointId, startedAtMs = UNKNOWN_START_MS }: RecordLeave): boolean {
     const runId = runIdOf({ endpointId, startedAtMs });
     if (this.leavingIds.has(runId)) return false;
     this.leaving.push(runId);
--- a/packages/fleet/src/fleet.test.ts
+++ b/packages/fleet/src/fleet.test.ts
@@ -3,7 +3,7 @@
 import { describe, title } from '@shedline/test-utils';
 import { configurationProblem } from './configuration.js';
 import type { Configuration, Route } from './configuration.js';
-import { EndpointRegister } from './endpoint-register.js';
+import { EndpointRegistry } from './endpoint-registry.js';
 import { endpointIdOf, runIdOf } from './endpoint-run.js';
 import { FleetState } from './fleet-state.js';
 import type { FleetCommand } from './fleet-state.js';
@@ -235,7 +235,7 @@
   });
 });
 
-describe('endpoint register', () => {
+describe('endpoint registry', () => {
   const heartbeat = (sequence: number, startedAtMs = 0) => ({
     endpointId: 'e',
     startedAtMs,
@@ -248,25 +248,25 @@
   });
 
   test(title('gives what is new since a cursor, and all to a stranger'), (t) => {
-    const register = new EndpointRegister('epoch');
-    t.true(register.hear(heartbeat(2), 0, 100));
-    t.false(register.hear(heartbeat(1), 0, 200));
-    const first = register.since('', 0, 300);
+    const registry = new EndpointRegistry('epoch');
+    t.true(registry.hear(heartbeat(2), 0, 100));
+    t.false(registry.hear(heartbeat(1), 0, 200));
+    const first = registry.since('', 0, 300);
     t.is(first.heartbeats[0]?.ageMs, 200);
-    t.is(register.since('epoch', first.cursor, 300).heartbeats.length, 0);
-    t.is(register.since('other', first.cursor, 300).heartbeats.length, 1);
-    register.forgetSilent(60_000);
-    t.is(register.since('', 0, 60_000).heartbeats.length, 0);
+    t.is(registry.since('epoch', first.cursor, 300).heartbeats.length, 0);
+    t.is(registry.since('other', first.cursor, 300).heartbeats.length, 1);
+    registry.forgetSilent(60_000);
+    t.is(registry.since('', 0, 60_000).heartbeats.length, 0);
   });
 
   test(title('a new run counts from its first heartbeat, and none of the run before'), (t) => {
-    const register = new EndpointRegister('epoch');
-    t.true(register.hear(heartbeat(40, 1000), 0, 100));
-    t.true(register.hear(heartbeat(1, 2000), 0, 200));
-    t.false(register.hear(heartbeat(41, 1000), 0, 300));
-    t.false(register.hear(heartbeat(99), 0, 300), 'one that does not tell its start');
-    t.true(register.hear(heartbeat(2, 2000), 0, 400));
-    t.is(register.runOf('e')?.startedAtMs, 2000);
-    t.is(register.since('', 0, 400).heartbeats.length, 1);
+    const registry = new EndpointRegistry('epoch');
+    t.true(registry.hear(heartbeat(40, 1000), 0, 100));
+    t.true(registry.hear(heartbeat(1, 2000), 0, 200));
+    t.false(registry.hear(heartbeat(41, 1000), 0, 300));
+    t.false(registry.hear(heartbeat(99), 0, 300), 'one that does not tell its start');
+    t.true(registry.hear(heartbeat(2, 2000), 0, 400));
+    t.is(registry.runOf('e')?.startedAtMs, 2000);
+    t.is(registry.since('', 0, 400).heartbeats.length, 1);
   });
 });
--- a/packages/fleet/src/index.ts
+++ b/packages/fleet/src/index.ts
@@ -2,7 +2,7 @@
  * The state of a fleet and how its processes see it.
  */
 export * from './configuration.js';
-export * from './endpoint-register.js';
+export * from './endpoint-registry.js';
 export * from './endpoint-run.js';
 export * from './fleet-state.js';
 export * from './known-fleet.js';
--- a/packages/fleet/src/known-fleet.ts
+++ b/packages/fleet/src/known-fleet.ts
@@ -7,7 +7,7 @@
 import type { FleetDelta, FleetPosition, StoreCluster } from './fleet-state.js';
 
 /** What was new in a delta. */
-export interface FleetNews {
+export interface FleetChanges {
   /** Ids of the runs that newly leave. */
   readonly newlyLeaving: readonly string[];
   readonly routesChanged: boolean;
@@ -51,7 +51,7 @@
   }
 
   /** Takes news; gives what of it is new. */
-  take(delta: FleetDelta): FleetNews {
+  take(delta: FleetDelta): FleetChanges {
     const newlyLeaving = delta.leaving.filter((id) => !this.leavingIds.has(id));
     for (const id of newlyLeaving) this.leavingIds.add(id);
     this.moveOn(delta);
--- a/packages/forwarding/src/endpoint-queue.test.ts
+++ b/packages/forwarding/src/endpoint-queue.test.ts
@@ -6,7 +6,7 @@
   ChosenEndpoint,
   EndpointFinder,
   EndpointQueueOptions,
-  EndpointWish,
+  EndpointQueueRequest,
 } from './endpoint-queue.js';
 
 const SERVICE = 's';
@@ -50,7 +50,7 @@
   return { finder, clock, queue };
 }
 
-function wish(change: Partial<EndpointWish> = {}): EndpointWish {
+function request(change: Partial<EndpointQueueRequest> = {}): EndpointQueueRequest {
   return {
     service: SERVICE,
     tried: new Set(),
@@ -63,9 +63,9 @@
 }
 
 /** Collects the names of requests in the order in which they got an endpoint. */
-function follow(setup: Setup, wishes: Record<string, EndpointWish>): string[] {
+function follow(setup: Setup, requests: Record<string, EndpointQueueRequest>): string[] {
   const order: string[] = [];
-  for (const [name, one] of Object.entries(wishes)) {
+  for (const [name, one] of Object.entries(requests)) {
     void setup.queue.enter(one).endpoint.then((endpoint) => {
       order.push(endpoint === undefined ? `${name} refused` : name);
     });
@@ -83,8 +83,8 @@
     async (t) => {
       const { finder, queue } = setup(1);
       finder.free.set('e', 1);
-      const first = queue.enter(wish());
-      const second = queue.enter(wish());
+      const first = queue.enter(request());
+      const second = queue.enter(request());
       t.is((await first.endpoint)?.endpointId, 'e');
       t.is(queue.length, 1);
       second.leave();
@@ -97,9 +97,9 @@
     const all = setup(8);
     all.clock.nowMs = 400;
     const order = follow(all, {
-      late: wish({ onTimeUntilMs: 300, deadlineMs: 3000 }),
-      fresh: wish({ onTimeUntilMs: 700 }),
-      resumed: wish({ onTimeUntilMs: 600 }),
+      late: request({ onTimeUntilMs: 300, deadlineMs: 3000 }),
+      fresh: request({ onTimeUntilMs: 700 }),
+      resumed: request({ onTimeUntilMs: 600 }),
     });
     for (let slot = 0; slot < 3; slot += 1) {
       all.finder.free.set('e', 1);
@@ -113,8 +113,8 @@
     const all = setup(2);
     all.queue.ended(SERVICE, { runMs: 600 });
     const order = follow(all, {
-      short: wish({ deadlineMs: 800 }),
-      long: wish({ deadlineMs: 5000 }),
+      short: request({ deadlineMs: 800 }),
+      long: request({ deadlineMs: 5000 }),
     });
     await settled();
     t.deepEqual(order, ['short refused']);
@@ -126,7 +126,7 @@
 
   test(title('where no endpoint is known, waits as long as one takes to be heard'), async (t) => {
     const all = setup(0);
-    const order = follow(all, { only: wish() });
+    const order = follow(all, { only: request() });
     await settled();
     t.deepEqual(order, []);
     all.clock.nowMs = all.finder.knownWithinMs;
@@ -141,8 +141,8 @@
       const { finder, queue } = setup(1);
       finder.free.set('e', 2);
       const tried = new Set(['e']);
-      t.is((await queue.enter(wish({ tried })).endpoint)?.endpointId, 'e');
-      const doubtful = queue.enter(wish({ tried, mayRepeat: false }));
+      t.is((await queue.enter(request({ tried })).endpoint)?.endpointId, 'e');
+      const doubtful = queue.enter(request({ tried, mayRepeat: false }));
       t.is(queue.length, 1);
       doubtful.leave();
       t.is(await doubtful.endpoint, undefined);
@@ -153,7 +153,7 @@
     title('does not wait to its deadline for an endpoint that it may not use again'),
     async (t) => {
       const all = setup(8);
-      const order = follow(all, { doubtful: wish({ tried: new Set(['e']), mayRepeat: false }) });
+      const order = follow(all, { doubtful: request({ tried: new Set(['e']), mayRepeat: false }) });
       all.clock.nowMs = all.finder.knownWithinMs;
       all.queue.ended(SERVICE);
       await settled();
@@ -166,11 +166,11 @@
     async (t) => {
       // Looks of the queue's own timer would be counted too where the process stands still for a moment.
       const all = setup(8, { after: () => undefined });
-      const wishes = Array.from(
+      const requests = Array.from(
         { length: 100 },
-        (_, index) => [`request ${index}`, wish()] as const,
+        (_, index) => [`request ${index}`, request()] as const,
       );
-      const order = follow(all, Object.fromEntries(wishes));
+      const order = follow(all, Object.fromEntries(requests));
       const { looks } = all.finder;
       all.finder.free.set('e', 2);
       all.queue.ended(SERVICE);
@@ -187,7 +187,7 @@
     const all = setup(8);
     all.queue.ended(SERVICE, { runMs: 800 });
     t.is(all.queue.roomInMs(SERVICE), 100, 'one run in eight slots');
-    const places = Array.from({ length: 4 }, () => all.queue.enter(wish()));
+    const places = Array.from({ length: 4 }, () => all.queue.enter(request()));
     t.is(all.queue.roomInMs(SERVICE), 500, 'behind four others');
     for (const place of places) place.leave();
     const none = setup(0);
@@ -203,12 +203,12 @@
       const all = setup(2);
       all.finder.free.set('e', 2);
       all.queue.ended(SERVICE, { runMs: 1000 });
-      for (let count = 0; count < 6; count += 1) all.queue.enter(wish()).leave();
+      for (let count = 0; count < 6; count += 1) all.queue.enter(request()).leave();
       all.finder.free.set('e', 2);
       const order = follow(all, {
-        late: wish({ onTimeUntilMs: -1 }),
-        last: wish({ onTimeUntilMs: -1, deadlineMs: 1450 }),
-        fresh: wish(),
+        late: request({ onTimeUntilMs: -1 }),
+        last: request({ onTimeUntilMs: -1, deadlineMs: 1450 }),
+        fresh: request(),
       });
       await settled();
       t.deepEqual(order, ['last', 'fresh']);
@@ -224,9 +224,9 @@
     const all = setup(2);
     for (let count = 0; count < 100; count += 1)
       all.queue.ended(SERVICE, { runMs: 5000, leadMs: 2000 });
-    for (let count = 0; count < 20; count += 1) all.queue.enter(wish()).leave();
+    for (let count = 0; count < 20; count += 1) all.queue.enter(request()).leave();
     all.finder.free.set('e', 1);
-    t.deepEqual(follow(all, { fresh: wish({ deadlineMs: 20_000 }) }), []);
+    t.deepEqual(follow(all, { fresh: request({ deadlineMs: 20_000 }) }), []);
     await settled();
     t.is(all.queue.length, 0, 'it goes at once to the slot that is free');
   });
@@ -238,10 +238,10 @@
       all.queue.ended(SERVICE, { runMs: 1000 });
       const late = { onTimeUntilMs: -1, deadlineMs: 2500 };
       const order = follow(all, {
-        first: wish(late),
-        second: wish(late),
-        third: wish(late),
-        again: wish({ ...late, tried: new Set(['other']) }),
+        first: request(late),
+        second: request(late),
+        third: request(late),
+        again: request({ ...late, tried: new Set(['other']) }),
       });
       await settled();
       const afterFirstLook = [...order];
--- a/packages/forwarding/src/endpoint-queue.ts
+++ b/packages/forwarding/src/endpoint-queue.ts
@@ -2,8 +2,8 @@
  * Requests that wait at this entry for an endpoint of their service. Whoever has the best turn
  * gets the next free slot; who cannot be served in its time is told so at once.
  */
-import { FairTurns, WaitEstimate, timelinessOf } from '@shedline/admission';
-import type { WaitingCapacity, WaitingTurn } from '@shedline/admission';
+import { FairQueueOrder, WaitEstimate, timelinessOf } from '@shedline/admission';
+import type { WaitingCapacity, QueuedRequest } from '@shedline/admission';
 import type { ChoiceTerms, SharedPrompt } from '@shedline/types';
 
 /** Time between looks for free slots: those that other entries leave are not announced here. */
@@ -55,7 +55,7 @@
 }
 
 /** A request that wants an endpoint. */
-export interface EndpointWish extends WaitingTurn {
+export interface EndpointQueueRequest extends QueuedRequest {
   readonly service: string;
   /** Endpoints that it was sent to already. */
   readonly tried: ReadonlySet<string>;
@@ -81,7 +81,7 @@
 }
 
 interface Waiter {
-  readonly wish: EndpointWish;
+  readonly request: EndpointQueueRequest;
   readonly sinceMs: number;
   readonly settle: (endpoint: ChosenEndpoint | undefined) => void;
 }
@@ -103,7 +103,7 @@
   private readonly finder: EndpointFinder;
   private readonly nowMs: () => number;
   private readonly estimates = new Map<string, WaitEstimate>();
-  private readonly turns = new FairTurns();
+  private readonly queueOrder = new FairQueueOrder();
   private waiters: Waiter[] = [];
   private readonly after: (delayMs: number, callback: () => void) => void;
   private isLookDue = false;
@@ -122,12 +122,12 @@
   }
 
   /** Takes a place in the queue, or an endpoint at once where nobody waits and one has room. */
-  enter(wish: EndpointWish): QueuePlace {
-    this.turns.asked(wish.rank, this.nowMs());
-    this.estimateOf(wish.service).arrived(this.nowMs());
-    const isFree = !this.waiters.some((other) => other.wish.service === wish.service);
-    const toSend = this.toBeSentBy(wish);
-    const mayGo = isFree && this.mayGo(toSend, this.finder.capacity(wish.service, NONE));
+  enter(request: EndpointQueueRequest): QueuePlace {
+    this.queueOrder.asked(request.rank, this.nowMs());
+    this.estimateOf(request.service).arrived(this.nowMs());
+    const isFree = !this.waiters.some((other) => other.request.service === request.service);
+    const toSend = this.toBeSentBy(request);
+    const mayGo = isFree && this.mayGo(toSend, this.finder.capacity(request.service, NONE));
     const found = mayGo ? this.take(toSend, true) : undefined;
     if (found !== undefined) return { endpoint: Promise.resolve(found), leave: () => undefined };
     return this.enqueue(toSend);
@@ -140,7 +140,7 @@
   roomInMs(service: string): number {
     const capacity = this.finder.capacity(service, NONE);
     if (capacity.slots === 0) return this.finder.knownWithinMs;
-    const position = this.waiters.filter(({ wish }) => wish.service === service).length;
+    const position = this.waiters.filter(({ request }) => request.service === service).length;
     return Math.max(LEAST_RETURN_MS, this.estimateOf(service).waitMs(position, capacity));
   }
 
@@ -152,12 +152,12 @@
     this.serve();
   }
 
-  private enqueue(wish: EndpointWish): QueuePlace {
+  private enqueue(request: EndpointQueueRequest): QueuePlace {
     let settle: Waiter['settle'] = () => undefined;
     const endpoint = new Promise<ChosenEndpoint | undefined>((resolve) => {
       settle = resolve;
     });
-    const waiter: Waiter = { wish, sinceMs: this.nowMs(), settle };
+    const waiter: Waiter = { request, sinceMs: this.nowMs(), settle };
     this.waiters.push(waiter);
     this.serve();
     return {
@@ -172,13 +172,14 @@
    * A request is late from when it would have to be sent on, not from when its answer would have to be there. Counted
    * from the latter, the turns of an overload all went to requests that became late on their way.
    */
-  private toBeSentBy(wish: EndpointWish): EndpointWish {
-    const estimate = this.estimateOf(wish.service);
-    const leftMs = Math.max(0, wish.onTimeUntilMs - this.nowMs());
-    const onTimeUntilMs = wish.onTimeUntilMs - Math.min(estimate.leadMs, MOST_LEAD_SHARE * leftMs);
+  private toBeSentBy(request: EndpointQueueRequest): EndpointQueueRequest {
+    const estimate = this.estimateOf(request.service);
+    const leftMs = Math.max(0, request.onTimeUntilMs - this.nowMs());
+    const onTimeUntilMs =
+      request.onTimeUntilMs - Math.min(estimate.leadMs, MOST_LEAD_SHARE * leftMs);
     // Who was sent somewhere in vain goes before those that were not, once both are late: it may not be refused as not run.
-    const urgentFromMs = wish.tried.size > 0 ? this.nowMs() : estimate.urgentFromMs(wish);
-    return { ...wish, onTimeUntilMs, urgentFromMs };
+    const urgentFromMs = request.tried.size > 0 ? this.nowMs() : estimate.urgentFromMs(request);
+    return { ...request, onTimeUntilMs, urgentFromMs };
   }
 
   /**
@@ -186,28 +187,28 @@
    * can still be on time and will come while it runs; it goes when it could not be served any more otherwise. After a
    * loss of all power in a peak every slot went to what had waited, and what came then was late as well.
    */
-  private mayGo(wish: EndpointWish, { slots, sharers }: WaitingCapacity): boolean {
+  private mayGo(request: EndpointQueueRequest, { slots, sharers }: WaitingCapacity): boolean {
     const nowMs = this.nowMs();
-    if (timelinessOf(wish, nowMs) !== 'late') return true;
-    const reserved = this.estimateOf(wish.service).slotsForNew(nowMs);
+    if (timelinessOf(request, nowMs) !== 'late') return true;
+    const reserved = this.estimateOf(request.service).slotsForNew(nowMs);
     return this.lateUnderWay + reserved < slots / Math.max(1, sharers);
   }
 
   /** Gives free slots to those whose turn it is, and turns away who cannot be served. */
   private serve(): void {
     const nowMs = this.nowMs();
-    const ordered = this.turns.order(this.waiters, nowMs);
+    const ordered = this.queueOrder.order(this.waiters, nowMs);
     const rounds = new Map<string, ServiceRound>();
-    for (const { wish } of ordered) this.roundOf(rounds, wish.service).waiting += 1;
+    for (const { request } of ordered) this.roundOf(rounds, request.service).waiting += 1;
     for (const waiter of ordered) {
-      const round = this.roundOf(rounds, waiter.wish.service);
-      const endpoint = this.takeInRound(waiter.wish, round);
+      const round = this.roundOf(rounds, waiter.request.service);
+      const endpoint = this.takeInRound(waiter.request, round);
       if (endpoint !== undefined || this.isHopeless(waiter, round, nowMs)) {
         this.remove(waiter, endpoint);
         continue;
       }
       round.before += 1;
-      if (timelinessOf(waiter.wish, nowMs) === 'late') round.lateBefore += 1;
+      if (timelinessOf(waiter.request, nowMs) === 'late') round.lateBefore += 1;
     }
     this.keepLooking();
   }
@@ -221,17 +222,20 @@
     return fresh;
   }
 
-  private takeInRound(wish: EndpointWish, round: ServiceRound): ChosenEndpoint | undefined {
-    if (round.isFull || !this.mayGo(wish, round.capacity)) return undefined;
+  private takeInRound(
+    request: EndpointQueueRequest,
+    round: ServiceRound,
+  ): ChosenEndpoint | undefined {
+    if (round.isFull || !this.mayGo(request, round.capacity)) return undefined;
     // A queue at an endpoint fills gaps between runs; what waits there has no turn any more.
-    const endpoint = this.take(wish, round.waiting <= 1);
+    const endpoint = this.take(request, round.waiting <= 1);
     // Where a request that was sent nowhere yet finds no room, nobody does.
-    if (endpoint === undefined && wish.tried.size === 0) round.isFull = true;
+    if (endpoint === undefined && request.tried.size === 0) round.isFull = true;
     return endpoint;
   }
 
-  private take(wish: EndpointWish, mayQueue: boolean): ChosenEndpoint | undefined {
-    const { service, tried, mayRepeat, prompt } = wish;
+  private take(request: EndpointQueueRequest, mayQueue: boolean): ChosenEndpoint | undefined {
+    const { service, tried, mayRepeat, prompt } = request;
     const repeated = mayRepeat && tried.size > 0;
     const terms = { mayQueue, prompt };
     const found =
@@ -239,22 +243,22 @@
       (repeated ? this.finder.choose(service, NONE, terms) : undefined);
     if (found === undefined) return undefined;
     this.finder.began(found.endpointId);
-    this.turns.served(wish, this.nowMs());
-    const isForLate = timelinessOf(wish, this.nowMs()) !== 'on time';
+    this.queueOrder.served(request, this.nowMs());
+    const isForLate = timelinessOf(request, this.nowMs()) !== 'on time';
     if (isForLate) this.lateUnderWay += 1;
     return { ...found, isForLate };
   }
 
-  private isHopeless({ wish, sinceMs }: Waiter, round: ServiceRound, nowMs: number): boolean {
-    if (wish.deadlineMs <= nowMs) return true;
-    const { service, tried, mayRepeat } = wish;
+  private isHopeless({ request, sinceMs }: Waiter, round: ServiceRound, nowMs: number): boolean {
+    if (request.deadlineMs <= nowMs) return true;
+    const { service, tried, mayRepeat } = request;
     const isAnyUsable = mayRepeat || tried.size === 0;
     const capacity = isAnyUsable ? round.capacity : this.finder.capacity(service, tried);
     if (capacity.slots === 0) return nowMs - sinceMs >= this.finder.knownWithinMs;
     const estimate = this.estimateOf(service);
-    const isLate = timelinessOf(wish, nowMs) === 'late';
-    if (isLate && estimate.isBeyondLate(wish, round.lateBefore, capacity, nowMs)) return true;
-    return estimate.isHopeless(wish, round.before, capacity, nowMs);
+    const isLate = timelinessOf(request, nowMs) === 'late';
+    if (isLate && estimate.isBeyondLate(request, round.lateBefore, capacity, nowMs)) return true;
+    return estimate.isHopeless(request, round.before, capacity, nowMs);
   }
 
   private remove(waiter: Waiter, endpoint: ChosenEndpoint | undefined): void {
--- a/packages/forwarding/src/forward-task.ts
+++ b/packages/forwarding/src/forward-task.ts
@@ -19,7 +19,7 @@
 }
 
 /** Where the answer goes. */
-export interface AnswerSink {
+export interface ResponseSink {
   /** `endsWithConnection`: without length or chunks, as {@link EndpointHead} says. */
   head(
     status: number,
@@ -67,5 +67,5 @@
   readonly arrivedAtMs: number;
   /** When the caller first asked, as far as it shows, on the same clock. */
   readonly firstAskedAtMs: number;
-  readonly sink: AnswerSink;
+  readonly sink: ResponseSink;
 }
--- a/packages/forwarding/src/forwarder.test.ts
+++ b/packages/forwarding/src/forwarder.test.ts
@@ -4,7 +4,7 @@
 import { describe, title } from '@shedline/test-utils';
 import type { RequestSender, RunningSend } from './endpoint-sender.js';
 import type { ChosenEndpoint } from './endpoint-queue.js';
-import type { AnswerSink, EndpointChooser, ForwardEnd } from './forward-task.js';
+import type { ResponseSink, EndpointChooser, ForwardEnd } from './forward-task.js';
 import { Forwarder } from './forwarder.js';
 import type { EndpointProtocol } from './protocol.js';
 
@@ -23,7 +23,7 @@
 };
 
 /** A caller that leaves when it is told to, or has left already. */
-class FakeSink implements AnswerSink {
+class FakeSink implements ResponseSink {
   private readonly hasLeft: boolean;
   private listener: () => void = () => undefined;
 
--- a/packages/forwarding/src/silent-connections.test.ts
+++ b/packages/forwarding/src/silent-connections.test.ts
@@ -21,7 +21,7 @@
 import { CuttableRelay, describe, title } from '@shedline/test-utils';
 import type { ChosenEndpoint } from './endpoint-queue.js';
 import { EndpointSender } from './endpoint-sender.js';
-import type { AnswerSink, EndpointChooser, ForwardEnd } from './forward-task.js';
+import type { ResponseSink, EndpointChooser, ForwardEnd } from './forward-task.js';
 import { Forwarder } from './forwarder.js';
 import type { EndpointHead, EndpointProtocol } from './protocol.js';
 
@@ -138,7 +138,7 @@
 }
 
 /** A caller that waits to the end. */
-class PatientCaller implements AnswerSink {
+class PatientCaller implements ResponseSink {
   private readonly onEvent: () => void;
 
   constructor(onEvent: () => void) {
--- a/packages/gateway/src/crash-guard.ts
+++ b/packages/gateway/src/crash-guard.ts
@@ -39,24 +39,24 @@
   }
 
   async admit(contentKey: string): Promise<Admission> {
-    const standing = this.known.standing(contentKey);
-    if (standing.kind === 'free') return { isAdmitted: true };
-    if (standing.kind === 'held') return { isAdmitted: false, retryAfterMs: standing.forMs };
-    const isLet = await this.options.reporter.beginTrial(contentKey, standing.trials);
+    const status = this.known.status(contentKey);
+    if (status.kind === 'free') return { isAdmitted: true };
+    if (status.kind === 'held') return { isAdmitted: false, retryAfterMs: status.forMs };
+    const isLet = await this.options.reporter.beginTrial(contentKey, status.trials);
     const { logger } = this.options;
     logger.info('trial of a content that is held back', {
       step: 'hold',
       content: contentKey,
-      trials: standing.trials,
+      trials: status.trials,
       outcome: isLet ? 'let' : 'not let',
     });
     return isLet ? { isAdmitted: true } : { isAdmitted: false, retryAfterMs: TRIAL_UNDER_WAY_MS };
   }
 
   heldMs(contentKey: string): number {
-    const standing = this.known.standing(contentKey);
-    if (standing.kind === 'free') return 0;
-    return standing.kind === 'held' ? standing.forMs : TRIAL_UNDER_WAY_MS;
+    const status = this.known.status(contentKey);
+    if (status.kind === 'free') return 0;
+    return status.kind === 'held' ? status.forMs : TRIAL_UNDER_WAY_MS;
   }
 
   crashesOf(contentKey: string): number {
--- a/packages/gateway/src/endpoint-pool.test.ts
+++ b/packages/gateway/src/endpoint-pool.test.ts
@@ -12,7 +12,7 @@
 /** Entries that use an endpoint. */
 const USERS = 4;
 const NONE: ReadonlySet<string> = new Set();
-const IN_REACH: ReadonlySet<string> = new Set(['a', 'gone']);
+const IN_SUBSET: ReadonlySet<string> = new Set(['a', 'gone']);
 const FIRST_RUN = runIdOf({ endpointId: 'a', startedAtMs: 1000 });
 const FIRST_OF_A = runIdOf({ endpointId: 'a', startedAtMs: 0 });
 const SECOND_RUN = runIdOf({ endpointId: 'a', startedAtMs: 2000 });
@@ -48,7 +48,7 @@
       random,
       nowMs: () => this.nowMs,
       isLeaving: () => false,
-      inReach: () => IN_REACH,
+      inSubset: () => IN_SUBSET,
       userCount: () => USERS,
       entryCount: () => 1,
       onLoadChange: () => undefined,
@@ -100,7 +100,7 @@
     }
     t.deepEqual(chosen, [...Array<string>(SLOTS + QUEUED).fill('a'), 'b']);
     t.deepEqual(
-      setup.pool.usableInReach(SERVICE).map(({ endpointId }) => endpointId),
+      setup.pool.usableInSubset(SERVICE).map(({ endpointId }) => endpointId),
       ['a'],
     );
     t.is(setup.pool.choose(SERVICE, new Set(['a', 'b'])), undefined);
--- a/packages/gateway/src/endpoint-pool.ts
+++ b/packages/gateway/src/endpoint-pool.ts
@@ -4,7 +4,7 @@
  */
 import type { WaitingCapacity } from '@shedline/admission';
 import { EndpointDirectory, LeaseClock } from '@shedline/directory';
-import type { KnownEndpoint, Placed } from '@shedline/directory';
+import type { KnownEndpoint, ZonedName } from '@shedline/directory';
 import { runIdOf } from '@shedline/fleet';
 import type { AgedHeartbeat, EndpointHeartbeat } from '@shedline/fleet';
 import type { ChosenEndpoint, EndpointChooser, SendResult } from '@shedline/forwarding';
@@ -63,7 +63,7 @@
   readonly nowMs: () => number;
   readonly isLeaving: (endpointId: string) => boolean;
   /** Endpoints that this entry sends to while they have room; looked at before all others. */
-  readonly inReach: () => ReadonlySet<string>;
+  readonly inSubset: () => ReadonlySet<string>;
   /** Entries that send to an endpoint, this one included. */
   readonly userCount: (endpointId: string) => number;
   /** Entries that send to endpoints, this one included. */
@@ -183,16 +183,16 @@
    * Endpoints of a service in reach that may take work now. Only these are looked at, 8 of 90 in a large
    * fleet: it is asked 25 times a second.
    */
-  usableInReach(service: string): SlotCandidate[] {
+  usableInSubset(service: string): SlotCandidate[] {
     const nowMs = this.options.nowMs();
-    return [...this.options.inReach()].flatMap((endpointId) => {
+    return [...this.options.inSubset()].flatMap((endpointId) => {
       const known = this.directory.oneForService(endpointId, service, nowMs);
       return known === undefined ? [] : [this.candidateOf(known, nowMs)];
     });
   }
 
   /** Endpoints that are up and do not leave, whether or not they take work now. */
-  present(): Placed[] {
+  present(): ZonedName[] {
     return this.directory
       .live(this.options.nowMs())
       .filter(({ announcement }) => !announcement.leaving)
@@ -319,7 +319,7 @@
     terms: ChoiceTerms,
   ): SlotCandidate | undefined {
     const isUntried = ({ endpointId }: SlotCandidate): boolean => !tried.has(endpointId);
-    const near = this.usableInReach(service).filter(isUntried);
+    const near = this.usableInSubset(service).filter(isUntried);
     const mayQueue = terms.mayQueue !== false && !this.areLoadsUnknown;
     const zone = this.options.availabilityZone;
     const chosen = this.routing.choose(near, zone, { ...terms, mayQueue });
@@ -329,13 +329,13 @@
 
   /** Whether the endpoints in reach that may take work are as many as usual, so that only their load keeps a request. */
   private isEnough(usableCount: number): boolean {
-    return usableCount > ENOUGH_SHARE * this.options.inReach().size;
+    return usableCount > ENOUGH_SHARE * this.options.inSubset().size;
   }
 
   /** Any of them alike, in whatever zone: that of this entry is full as far as it knows. */
   private chooseFar(usable: readonly SlotCandidate[]): SlotCandidate | undefined {
-    const inReach = this.options.inReach();
-    const far = usable.filter(({ endpointId }) => !inReach.has(endpointId));
+    const inSubset = this.options.inSubset();
+    const far = usable.filter(({ endpointId }) => !inSubset.has(endpointId));
     return far[Math.floor(this.options.random() * far.length)];
   }
 
--- a/packages/gateway/src/entry-links.test.ts
+++ b/packages/gateway/src/entry-links.test.ts
@@ -1,6 +1,6 @@
 import test from 'ava';
 import { describe, title } from '@shedline/test-utils';
-import { PeerBook, PeerServer } from '@shedline/transport';
+import { PeerConnections, PeerServer } from '@shedline/transport';
 import { EntryLinks } from './entry-links.js';
 
 const HOST = '127.0.0.1';
@@ -26,7 +26,7 @@
     });
     this.links = new EntryLinks({
       self: name,
-      opened: new PeerBook({ name, secret: SECRET, handlers: { onMessage } }),
+      opened: new PeerConnections({ name, secret: SECRET, handlers: { onMessage } }),
       accepted: (peerName) => this.server.linkOf(peerName),
     });
   }
--- a/packages/gateway/src/entry-links.ts
+++ b/packages/gateway/src/entry-links.ts
@@ -2,14 +2,14 @@
  * Connections between the entries that share endpoints: one a pair, over which both send. One each
  * way cost twice the handshakes at each start, and twice the pings of connections that rest.
  */
-import type { Link, PeerAddress, PeerBook } from '@shedline/transport';
+import type { Link, PeerAddress, PeerConnections } from '@shedline/transport';
 
 /** Options of {@link EntryLinks}. */
 export interface EntryLinksOptions {
   /** Name of this entry. */
   readonly self: string;
   /** Connections that this entry opens. */
-  readonly opened: PeerBook;
+  readonly opened: PeerConnections;
   /** The connection that another entry has opened to this one. */
   readonly accepted: (peerName: string) => Pick<Link, 'send'> | undefined;
 }
--- a/packages/gateway/src/fleet-follower.test.ts
+++ b/packages/gateway/src/fleet-follower.test.ts
@@ -5,7 +5,7 @@
 import type { RefreshAnswer, StateAnswer } from '@shedline/fleet-control';
 import { createLogger } from '@shedline/logger';
 import { describe, title } from '@shedline/test-utils';
-import type { PeerBook } from '@shedline/transport';
+import type { PeerConnections } from '@shedline/transport';
 import { FleetFollower } from './fleet-follower.js';
 
 const HEARTBEAT: AgedHeartbeat = {
@@ -46,7 +46,7 @@
     this.versions = versions;
   }
 
-  get book(): PeerBook {
+  get connections(): PeerConnections {
     const ready = Object.entries(this.versions).map(([peerName, version]) => ({
       peerName,
       request: (method: string): Promise<RefreshAnswer | StateAnswer> => {
@@ -59,7 +59,7 @@
         });
       },
     }));
-    return { ready } as unknown as PeerBook;
+    return { ready } as unknown as PeerConnections;
   }
 }
 
@@ -88,7 +88,7 @@
   const heard: AgedHeartbeat[] = [];
   const routes: number[] = [];
   const follower = new FleetFollower({
-    controls: controls.book,
+    controls: controls.connections,
     caller: quorum,
     isNear: (control) => control === 'near',
     logger: createLogger({ level: 'silent' }),
--- a/packages/gateway/src/fleet-follower.ts
+++ b/packages/gateway/src/fleet-follower.ts
@@ -11,8 +11,8 @@
 import type { AgedHeartbeat, FleetDelta } from '@shedline/fleet';
 import type { Logger } from '@shedline/logger';
 import type { CrashChanges } from '@shedline/quarantine';
-import type { PeerBook, PeerClient } from '@shedline/transport';
-import { Confirmation } from './confirmation.js';
+import type { PeerConnections, PeerClient } from '@shedline/transport';
+import { StateFreshness } from './state-freshness.js';
 
 /** Time between looks; a change is in force well within the two seconds that operators allow. */
 const REFRESH_INTERVAL_MS = 300;
@@ -33,7 +33,7 @@
 
 /** Options of {@link FleetFollower}. */
 export interface FleetFollowerOptions {
-  readonly controls: PeerBook;
+  readonly controls: PeerConnections;
   readonly caller: GroupCaller;
   /** Whether a control process stands in the availability zone of this entry. */
   readonly isNear: (control: string) => boolean;
@@ -51,7 +51,7 @@
 export class FleetFollower {
   readonly fleet = new KnownFleet();
   private readonly options: FleetFollowerOptions;
-  private readonly confirmation: Confirmation;
+  private readonly freshness: StateFreshness;
   private readonly cursors = new Map<string, { epoch: string; cursor: number }>();
   private readonly asking = new Set<string>();
   private timer: NodeJS.Timeout | undefined;
@@ -68,7 +68,7 @@
   constructor(options: FleetFollowerOptions) {
     this.options = options;
     const { logger, nowMs, controls } = options;
-    this.confirmation = new Confirmation({
+    this.freshness = new StateFreshness({
       logger,
       nowMs,
       version: () => this.fleet.position.version,
@@ -78,7 +78,7 @@
 
   /** Time since a quorum was known to hold nothing newer than is known here. */
   get unconfirmedMs(): number {
-    return this.confirmation.ageMs;
+    return this.freshness.ageMs;
   }
 
   /** Time since a control process last answered. */
@@ -159,7 +159,7 @@
           FIRST_READ_TIMEOUT_MS,
         );
         this.take(answer as FleetDelta, 'quorum');
-        this.confirmation.confirmed(askedAtMs, 'quorum');
+        this.freshness.confirmed(askedAtMs, 'quorum');
         return;
       } catch (error) {
         const reason = error instanceof Error ? error.message : String(error);
@@ -178,7 +178,7 @@
     const near = idle.find(({ peerName }) => this.options.isNear(peerName)) ?? idle[0];
     if (near !== undefined) void this.ask(near);
     this.looks += 1;
-    this.confirmation.look();
+    this.freshness.look();
     const others = idle.filter((control) => control !== near);
     const other = others[this.turn % Math.max(1, others.length)];
     if (other === undefined || this.looks % LOOKS_PER_CROSS_CHECK !== 0) return;
@@ -201,7 +201,7 @@
   private takeState(answer: StateAnswer, peer: string, askedAtMs: number): void {
     const { delta, confirmedAgeMs = Infinity } = answer;
     this.take(delta, peer);
-    this.confirmation.confirmed(askedAtMs - confirmedAgeMs, peer);
+    this.freshness.confirmed(askedAtMs - confirmedAgeMs, peer);
   }
 
   private noteNoNews(peer: string, error: unknown): void {
--- a/packages/gateway/src/gateway-process.ts
+++ b/packages/gateway/src/gateway-process.ts
@@ -4,16 +4,16 @@
  */
 import type { FleetSettings } from '@shedline/config';
 import { LeaderCaller } from '@shedline/control-client';
-import type { Placed } from '@shedline/directory';
+import type { ZonedName } from '@shedline/directory';
 import type { AgedHeartbeat, CallerLimits, FleetDelta, RouteTable } from '@shedline/fleet';
 import { ProcessCore, portsOf, quotaTolerance } from '@shedline/fleet-control';
 import type { JobEndedMessage } from '@shedline/fleet-control';
 import { ConnectionProbe, EndpointSender, Forwarder } from '@shedline/forwarding';
-import type { AnswerSink, EndpointProtocol } from '@shedline/forwarding';
+import type { ResponseSink, EndpointProtocol } from '@shedline/forwarding';
 import type { Logger } from '@shedline/logger';
 import { ProcessMetrics } from '@shedline/metrics';
 import type { MemberRecord } from '@shedline/mesh';
-import type { PeerBook } from '@shedline/transport';
+import type { PeerConnections } from '@shedline/transport';
 import { callerAddresses } from './caller-addresses.js';
 import { CrashGuard } from './crash-guard.js';
 import { CrashReporter } from './crash-reporter.js';
@@ -24,16 +24,16 @@
 import { FleetFollower } from './fleet-follower.js';
 import { KeyCheck } from './key-check.js';
 import { ItemRunner } from './item-runner.js';
-import { JobDesk, jobGroupsOf } from './job-desk.js';
+import { JobService, jobGroupsOf } from './job-service.js';
 import { LoadExchange } from './load-exchange.js';
 import { PlannedStop } from './planned-stop.js';
-import { QuotaDesk } from './quota-desk.js';
+import { QuotaEnforcer } from './quota-enforcer.js';
 import { PacedJob } from './paced-job.js';
-import { ReachKeeper } from './reach-keeper.js';
+import { SubsetTracker } from './subset-tracker.js';
 import { RequestIntake } from './request-intake.js';
 import type { IncomingRequest } from './request-intake.js';
 import { StartGate } from './start-gate.js';
-import type { Leaver } from './start-gate.js';
+import type { DisconnectNotifier } from './start-gate.js';
 import { STORE_LINGER_MS, StoreLinks } from './store-links.js';
 
 const SWEEP_INTERVAL_MS = 1000;
@@ -73,7 +73,7 @@
 /** One entry. */
 export class GatewayProcess {
   readonly core: ProcessCore;
-  readonly jobs: JobDesk;
+  readonly jobs: JobService;
   readonly keys: KeyCheck;
   readonly metrics = new ProcessMetrics();
   private readonly settings: FleetSettings;
@@ -89,13 +89,13 @@
   private readonly sender: EndpointSender;
   private readonly forwarder: Forwarder;
   private readonly intake: RequestIntake;
-  private readonly quotas: QuotaDesk;
+  private readonly quotas: QuotaEnforcer;
   private readonly entries: EntryLinks;
-  private readonly stores: PeerBook;
+  private readonly stores: PeerConnections;
   private readonly storeLinks: StoreLinks;
   private readonly exchange: LoadExchange;
-  private readonly reach: ReachKeeper;
-  private readonly reachRefresh: PacedJob;
+  private readonly subsetTracker: SubsetTracker;
+  private readonly subsetRefresh: PacedJob;
   private readonly runner: ItemRunner;
   private timer: NodeJS.Timeout | undefined;
   private readonly stop: PlannedStop;
@@ -122,7 +122,7 @@
     });
     const { name } = this.core;
     this.entries = this.createEntryLinks();
-    this.stores = this.core.createPeerBook({
+    this.stores = this.core.createPeerConnections({
       lingerMs: STORE_LINGER_MS,
       handlers: {
         onMessage: (method, payload) => {
@@ -130,18 +130,19 @@
         },
       },
     });
-    this.reach = new ReachKeeper({
+    this.subsetTracker = new SubsetTracker({
       self: name,
       entries: () => this.servingEntries(),
       endpoints: () => this.pool.present(),
     });
-    this.reachRefresh = new PacedJob({
+    this.subsetRefresh = new PacedJob({
       intervalMs: REACH_INTERVAL_MS,
       run: () => {
-        this.refreshReach();
+        this.refreshSubset();
       },
     });
-    const usersOf = (endpointId: string): readonly string[] => this.reach.usersOf(endpointId);
+    const usersOf = (endpointId: string): readonly string[] =>
+      this.subsetTracker.usersOf(endpointId);
     this.exchange = new LoadExchange({ entries: this.entries, pool: () => this.pool, usersOf });
     this.controlCaller = new LeaderCaller({
       ports: () => portsOf(this.core.mesh.controls),
@@ -167,7 +168,7 @@
       nowMs: this.nowMs,
     });
     const { fleet } = this.follower;
-    this.quotas = new QuotaDesk({
+    this.quotas = new QuotaEnforcer({
       self: name,
       tolerance: quotaTolerance(settings),
       controls: this.core.mesh.controls,
@@ -187,7 +188,7 @@
       nowMs: this.nowMs,
     });
     this.storeLinks = new StoreLinks({
-      book: this.stores,
+      connections: this.stores,
       stores: () => this.core.mesh.live('store'),
       groups: () => jobGroupsOf(fleet),
     });
@@ -195,7 +196,7 @@
       ports: (group) => this.storeLinks.ports(group),
       maxAttemptMs: MAX_STORE_ATTEMPT_MS,
     });
-    this.jobs = new JobDesk({ stores: storeCaller, fleet, logger });
+    this.jobs = new JobService({ stores: storeCaller, fleet, logger });
     this.runner = new ItemRunner({
       holder: `${name}/${this.core.epoch}`,
       self: name,
@@ -207,8 +208,8 @@
       protocol,
       logger,
       nowMs: this.nowMs,
-      usersOf: (endpointId) => this.reach.batchUsersOf(endpointId),
-      entryCount: () => this.reach.batchEntryCount,
+      usersOf: (endpointId) => this.subsetTracker.batchUsersOf(endpointId),
+      entryCount: () => this.subsetTracker.batchEntryCount,
     });
     this.keys = new KeyCheck({
       silentMs: () => this.follower.silentMs,
@@ -261,7 +262,7 @@
   }
 
   /** Holds a caller's request while the entry starts; gives the time that it was held. */
-  async untilStarted(caller: Leaver): Promise<number> {
+  async untilStarted(caller: DisconnectNotifier): Promise<number> {
     return this.knowsRoutes ? 0 : this.startGate.pass(caller);
   }
 
@@ -271,7 +272,7 @@
   }
 
   /** Forwards a request; its answer goes into the sink. */
-  forward(incoming: IncomingRequest, sink: AnswerSink): Promise<void> {
+  forward(incoming: IncomingRequest, sink: ResponseSink): Promise<void> {
     return this.intake.forward(incoming, sink);
   }
 
@@ -295,7 +296,7 @@
   async close(): Promise<void> {
     clearInterval(this.timer);
     this.follower.stop();
-    this.reachRefresh.close();
+    this.subsetRefresh.close();
     this.runner.close();
     this.crashReporter.close();
     this.exchange.stop();
@@ -331,7 +332,7 @@
 
   private createEntryLinks(): EntryLinks {
     const { core } = this;
-    const opened = core.createPeerBook({
+    const opened = core.createPeerConnections({
       lingerMs: PEER_LINGER_MS,
       firstRetryMs: PEER_RETRY_MS,
       handlers: {
@@ -355,7 +356,7 @@
       logger: this.logger,
       nowMs: this.nowMs,
       onHeartbeats: (heartbeats) => {
-        if (this.pool.hear(heartbeats)) this.reachRefresh.ask();
+        if (this.pool.hear(heartbeats)) this.subsetRefresh.ask();
       },
       onCrashes: (changes, from) => {
         this.guard.take(changes, from);
@@ -365,7 +366,7 @@
       },
       onLeaving: (endpointIds) => {
         this.pool.markLeaving(endpointIds);
-        this.reachRefresh.ask();
+        this.subsetRefresh.ask();
       },
     });
   }
@@ -383,9 +384,9 @@
       random: this.random,
       nowMs: this.nowMs,
       isLeaving: (endpointId) => this.follower.fleet.isLeaving(endpointId),
-      inReach: () => this.reach.endpoints,
-      userCount: (endpointId) => this.reach.usersOf(endpointId).length,
-      entryCount: () => this.reach.entryCount,
+      inSubset: () => this.subsetTracker.endpoints,
+      userCount: (endpointId) => this.subsetTracker.usersOf(endpointId).length,
+      entryCount: () => this.subsetTracker.entryCount,
       onLoadChange: (endpointId) => {
         this.exchange.note(endpointId);
       },
@@ -457,7 +458,7 @@
   }
 
   /** Entries that take callers, and this one in any case. */
-  private servingEntries(): Placed[] {
+  private servingEntries(): ZonedName[] {
     const { mesh } = this.core;
     const { self } = mesh;
     const ready = mesh.live('entry').filter((entry) => entry.state === 'ready');
@@ -469,7 +470,7 @@
   private membersChanged(): void {
     const entries = this.core.mesh.live('entry');
     const stores = this.core.mesh.live('store');
-    if (entries !== this.seenEntries) this.reachRefresh.ask();
+    if (entries !== this.seenEntries) this.subsetRefresh.ask();
     if (stores !== this.seenStores) this.storeLinks.update();
     this.seenEntries = entries;
     this.seenStores = stores;
@@ -477,15 +478,15 @@
   }
 
   /** Keeps connections to the entries that share endpoints with this one. */
-  private refreshReach(): void {
-    this.reach.refresh();
-    const peers = new Set(this.reach.peers);
+  private refreshSubset(): void {
+    this.subsetTracker.refresh();
+    const peers = new Set(this.subsetTracker.peers);
     const sharing = this.core.mesh.live('entry').filter((entry) => peers.has(entry.name));
     this.entries.keepOnly(sharing);
   }
 
   private sweep(): void {
-    this.reachRefresh.ask();
+    this.subsetRefresh.ask();
     this.endWatch.sweep();
     this.storeLinks.update();
     const inUse = this.pool.sweep();
--- a/packages/gateway/src/index.ts
+++ b/packages/gateway/src/index.ts
@@ -3,6 +3,6 @@
  */
 export * from './gateway-process.js';
 export * from './request-intake.js';
-export * from './job-desk.js';
+export * from './job-service.js';
 export * from './key-check.js';
 export * from './endpoint-pool.js';
--- a/packages/gateway/src/item-runner.test.ts
+++ b/packages/gateway/src/item-runner.test.ts
@@ -15,7 +15,7 @@
 import type { CommitRuns, ItemRef, ItemRequest, ReturnedItem } from '@shedline/whole-jobs';
 import { EndpointPool } from './endpoint-pool.js';
 import { ItemRunner } from './item-runner.js';
-import { routeKeyOf } from './job-desk.js';
+import { routeKeyOf } from './job-service.js';
 
 const HOST = 'host.example';
 const PREFIX = '/jobs/';
@@ -157,7 +157,7 @@
     random: Math.random,
     nowMs,
     isLeaving: () => false,
-    inReach: () => new Set(['e1']),
+    inSubset: () => new Set(['e1']),
     userCount: () => 1,
     entryCount: () => 1,
     onLoadChange: () => undefined,
--- a/packages/gateway/src/item-runner.ts
+++ b/packages/gateway/src/item-runner.ts
@@ -15,7 +15,7 @@
 import type { EndWatch } from './end-watch.js';
 import type { EndpointPool } from './endpoint-pool.js';
 import { ItemRun } from './item-run.js';
-import { jobGroupOf, routeKeyOf } from './job-desk.js';
+import { jobGroupOf, routeKeyOf } from './job-service.js';
 import { RunReporter } from './run-reporter.js';
 
 /** Time between looks at the slots. */
@@ -191,7 +191,7 @@
 
   private usableFor(route: Route): SlotCandidate[] {
     const services = route.targets.filter(({ weight }) => weight > 0);
-    return services.flatMap(({ service }) => this.options.pool.usableInReach(service));
+    return services.flatMap(({ service }) => this.options.pool.usableInSubset(service));
   }
 
   private runsAt(endpointId: string): ItemRun[] {
--- a/packages/gateway/src/job-desk.ts
+++ b/packages/gateway/src/job-service.ts
@@ -44,8 +44,8 @@
   | { readonly kind: 'unknown' }
   | { readonly kind: 'invalid'; readonly message: string };
 
-/** Options of {@link JobDesk}. */
-export interface JobDeskOptions {
+/** Options of {@link JobService}. */
+export interface JobServiceOptions {
   readonly stores: GroupCaller;
   readonly fleet: KnownFleet;
   readonly logger: Logger;
@@ -85,10 +85,10 @@
 }
 
 /** Jobs as callers see them. */
-export class JobDesk {
-  private readonly options: JobDeskOptions;
+export class JobService {
+  private readonly options: JobServiceOptions;
 
-  constructor(options: JobDeskOptions) {
+  constructor(options: JobServiceOptions) {
     this.options = options;
   }
 
--- a/packages/gateway/src/overload.test.ts
+++ b/packages/gateway/src/overload.test.ts
@@ -3,8 +3,8 @@
  * checks what callers get: under more work than fits, and after a loss of all power in a peak.
  */
 import test from 'ava';
-import { Reach } from '@shedline/directory';
-import type { Placed } from '@shedline/directory';
+import { EndpointSubsets } from '@shedline/directory';
+import type { ZonedName } from '@shedline/directory';
 import { runIdOf } from '@shedline/fleet';
 import { EndpointQueue } from '@shedline/forwarding';
 import { describe, seededRandom, title } from '@shedline/test-utils';
@@ -69,12 +69,12 @@
 }
 
 interface Entry {
-  readonly place: Placed;
+  readonly place: ZonedName;
   readonly pool: EndpointPool;
   readonly queue: EndpointQueue;
 }
 
-function placed(prefix: string, count: number): Placed[] {
+function placed(prefix: string, count: number): ZonedName[] {
   return Array.from({ length: count }, (_, index) => {
     const availabilityZone = `z${Math.floor((index * ZONES) / count)}`;
     return { name: `${prefix}${index}`, availabilityZone };
@@ -87,9 +87,9 @@
   private readonly load: Load;
   private readonly fleet: Fleet;
   private readonly random: RandomSource;
-  private readonly places: readonly Placed[];
-  private readonly endpoints: readonly Placed[];
-  private readonly reach: Reach;
+  private readonly places: readonly ZonedName[];
+  private readonly endpoints: readonly ZonedName[];
+  private readonly subsets: EndpointSubsets;
   private readonly engines = new Map<string, Engine>();
   private readonly due = new Map<number, (() => void)[]>();
   private readonly told = new Map<string, Set<string>>();
@@ -107,7 +107,7 @@
     const runs = this.endpoints.map(({ name, availabilityZone }) => {
       return { name: runOf(name), availabilityZone };
     });
-    this.reach = new Reach({ entries: this.places, endpoints: runs });
+    this.subsets = new EndpointSubsets({ entries: this.places, endpoints: runs });
     for (const { name } of runs) this.engines.set(name, { running: 0, waiting: [], life: 0 });
   }
 
@@ -231,16 +231,16 @@
     this.beat();
   }
 
-  private startEntry(place: Placed): Entry {
-    const inReach = new Set(this.reach.endpointsOf(place.name));
+  private startEntry(place: ZonedName): Entry {
+    const inSubset = new Set(this.subsets.endpointsOf(place.name));
     const pool = new EndpointPool({
       availabilityZone: place.availabilityZone,
       heartbeatMs: HEARTBEAT_MS,
       random: this.random,
       nowMs: () => this.nowMs,
       isLeaving: () => false,
-      inReach: () => inReach,
-      userCount: (endpointId) => this.reach.entriesOf(endpointId).length,
+      inSubset: () => inSubset,
+      userCount: (endpointId) => this.subsets.entriesOf(endpointId).length,
       entryCount: () => this.places.length,
       onLoadChange: (endpointId) => {
         this.tellSoon(place.name, endpointId);
@@ -306,7 +306,7 @@
   private tell(entry: string, counts: readonly LoadCount[]): void {
     if (this.nowMs < this.linksUpAtMs) return;
     for (const count of counts) {
-      for (const user of this.reach.entriesOf(count.endpointId)) {
+      for (const user of this.subsets.entriesOf(count.endpointId)) {
         if (user !== entry) this.entries.get(user)?.pool.hearLoads(entry, [count]);
       }
     }
--- a/packages/gateway/src/quota-desk.test.ts
+++ b/packages/gateway/src/quota-enforcer.test.ts
@@ -2,18 +2,18 @@
 import test from 'ava';
 import { createLogger } from '@shedline/logger';
 import { ProcessMetrics } from '@shedline/metrics';
-import type { QuotaAnswer, QuotaAsk, UsageReport } from '@shedline/quota';
+import type { QuotaAnswer, QuotaRequest, UsageReport } from '@shedline/quota';
 import { describe, title } from '@shedline/test-utils';
 import type { PeerClient } from '@shedline/transport';
-import { QuotaDesk } from './quota-desk.js';
+import { QuotaEnforcer } from './quota-enforcer.js';
 
 const LIMITED = { name: 'w', keyDigests: [], limit: { ratePerS: 10, burst: 10 } };
 const UNLIMITED = { name: 'free', keyDigests: [] };
 const VERSION = 3;
 
 /** A control process as the desk sees it. */
-class FakeKeeper {
-  readonly asks: QuotaAsk[] = [];
+class FakeCounter {
+  readonly asks: QuotaRequest[] = [];
   readonly reports: UsageReport[] = [];
   granted = Infinity;
   isSilent = false;
@@ -28,20 +28,20 @@
   }
 
   async request(_method: string, payload: unknown): Promise<QuotaAnswer> {
-    const ask = payload as QuotaAsk;
-    this.asks.push(ask);
+    const request = payload as QuotaRequest;
+    this.asks.push(request);
     await pause(5);
     if (this.isSilent) throw new Error('no answer');
-    const granted = Math.min(ask.wanted, this.granted);
+    const granted = Math.min(request.wanted, this.granted);
     return { granted, roomInMs: 700, spacingMs: 100 };
   }
 }
 
-function setup(...keepers: FakeKeeper[]): QuotaDesk {
-  return new QuotaDesk({
+function setup(...counters: FakeCounter[]): QuotaEnforcer {
+  return new QuotaEnforcer({
     self: 'e',
     tolerance: { windowMs: 5000, overshootShare: 0.1, slack: 20 },
-    controls: { ready: keepers as unknown as PeerClient[] },
+    controls: { ready: counters as unknown as PeerClient[] },
     entryCount: () => 4,
     metrics: new ProcessMetrics(),
     logger: createLogger({ level: 'silent' }),
@@ -49,19 +49,19 @@
   });
 }
 
-describe('QuotaDesk', () => {
+describe('QuotaEnforcer', () => {
   test(title('lets requests pass at once and tells of them together'), async (t) => {
-    const keeper = new FakeKeeper('a');
-    const desk = setup(keeper);
+    const counter = new FakeCounter('a');
+    const enforcer = setup(counter);
     for (let count = 0; count < 3; count += 1) {
-      t.deepEqual(await desk.enter(LIMITED, VERSION), { mayPass: true });
+      t.deepEqual(await enforcer.enter(LIMITED, VERSION), { mayPass: true });
     }
-    t.deepEqual(await desk.enter(UNLIMITED, VERSION), { mayPass: true });
-    desk.giveBack(LIMITED, VERSION);
+    t.deepEqual(await enforcer.enter(UNLIMITED, VERSION), { mayPass: true });
+    enforcer.giveBack(LIMITED, VERSION);
     await pause(100);
     const terms = { ...LIMITED.limit, version: VERSION };
-    t.deepEqual(keeper.reports, [{ workspace: 'w', terms, used: 2 }]);
-    t.is(keeper.asks.length, 0);
+    t.deepEqual(counter.reports, [{ workspace: 'w', terms, used: 2 }]);
+    t.is(counter.asks.length, 0);
   });
 
   test(
@@ -69,15 +69,15 @@
       'asks once for all that come while a question is under way; each refused has its own time',
     ),
     async (t) => {
-      const keeper = new FakeKeeper('a');
-      const desk = setup(keeper);
-      desk.hearNear(['w']);
-      keeper.granted = 1;
+      const counter = new FakeCounter('a');
+      const enforcer = setup(counter);
+      enforcer.hearNear(['w']);
+      counter.granted = 1;
       const verdicts = await Promise.all(
-        [1, 2, 3, 4].map(async () => desk.enter(LIMITED, VERSION)),
+        [1, 2, 3, 4].map(async () => enforcer.enter(LIMITED, VERSION)),
       );
       t.deepEqual(
-        keeper.asks.map(({ wanted }) => wanted),
+        counter.asks.map(({ wanted }) => wanted),
         [1, 3],
       );
       t.deepEqual(verdicts, [
@@ -92,18 +92,18 @@
   test(
     title('judges alone where a keeper does not answer, and asks another one then'),
     async (t) => {
-      const first = new FakeKeeper('a');
-      const second = new FakeKeeper('b');
-      const desk = setup(first, second);
-      desk.hearNear(['w']);
+      const first = new FakeCounter('a');
+      const second = new FakeCounter('b');
+      const enforcer = setup(first, second);
+      enforcer.hearNear(['w']);
       first.isSilent = true;
       second.isSilent = true;
-      const alone = await desk.enter(LIMITED, VERSION);
+      const alone = await enforcer.enter(LIMITED, VERSION);
       t.true(alone.mayPass, 'its part of the limit');
       t.is(first.asks.length + second.asks.length, 1);
       first.isSilent = false;
       second.isSilent = false;
-      await desk.enter(LIMITED, VERSION);
+      await enforcer.enter(LIMITED, VERSION);
       t.deepEqual([first.asks.length, second.asks.length], [1, 1]);
     },
   );
@@ -111,10 +111,10 @@
   test(
     title('without any keeper passes its part of the limit, and says 503 beyond it'),
     async (t) => {
-      const desk = setup();
+      const enforcer = setup();
       const verdicts = [];
       for (let count = 0; count < 100; count += 1)
-        verdicts.push(await desk.enter(LIMITED, VERSION));
+        verdicts.push(await enforcer.enter(LIMITED, VERSION));
       const passed = verdicts.filter(({ mayPass }) => mayPass).length;
       t.true(passed >= 15 && passed <= 61, String(passed));
       t.deepEqual(verdicts.at(-1), { mayPass: false, status: 503, retryAfterMs: 300 });
--- a/packages/gateway/src/quota-desk.ts
+++ b/packages/gateway/src/quota-enforcer.ts
@@ -7,7 +7,7 @@
 import type { ProcessMetrics } from '@shedline/metrics';
 import type { QuotaAnswer, QuotaTerms, QuotaTolerance } from '@shedline/quota';
 import { RequestShare } from '@shedline/quota';
-import type { PeerBook, PeerClient } from '@shedline/transport';
+import type { PeerConnections, PeerClient } from '@shedline/transport';
 import { rendezvousOrder } from '@shedline/types';
 
 /**
@@ -34,13 +34,13 @@
 /** Whether a request may pass. */
 export type QuotaVerdict = { readonly mayPass: true } | QuotaRefusal;
 
-/** Options of {@link QuotaDesk}. */
-export interface QuotaDeskOptions {
+/** Options of {@link QuotaEnforcer}. */
+export interface QuotaEnforcerOptions {
   /** Name of this entry. */
   readonly self: string;
   readonly tolerance: QuotaTolerance;
   /** Connections to the control processes, one of which keeps the count of each workspace. */
-  readonly controls: Pick<PeerBook, 'ready'>;
+  readonly controls: Pick<PeerConnections, 'ready'>;
   /** Entries that are known to be up. */
   readonly entryCount: () => number;
   readonly metrics: ProcessMetrics;
@@ -54,18 +54,18 @@
 }
 
 /** Limits as one entry keeps them. */
-export class QuotaDesk {
-  private readonly options: QuotaDeskOptions;
+export class QuotaEnforcer {
+  private readonly options: QuotaEnforcerOptions;
   private readonly share: RequestShare;
   /** Requests that wait until the question before theirs is answered, by workspace. */
   private readonly waiting = new Map<string, Waiter[]>();
   private readonly avoidUntilMs = new Map<string, number>();
-  private keepers = new Map<string, PeerClient>();
-  private keepersOf = '';
+  private counters = new Map<string, PeerClient>();
+  private countersOf = '';
   private report: NodeJS.Timeout | undefined;
   private look: NodeJS.Timeout | undefined;
 
-  constructor(options: QuotaDeskOptions) {
+  constructor(options: QuotaEnforcerOptions) {
     this.options = options;
     const { self, tolerance } = options;
     this.share = new RequestShare({ self, tolerance });
@@ -97,7 +97,7 @@
     const { name, limit } = workspace;
     if (limit === undefined) return { mayPass: true };
     const terms = { ...limit, version };
-    const way = this.share.wayOf(name, this.keeperOf(name) !== undefined, this.options.nowMs());
+    const way = this.share.wayOf(name, this.counterOf(name) !== undefined, this.options.nowMs());
     if (way === 'open') return this.passed(name, terms, way);
     if (way === 'alone') return this.judgeAlone(name, terms);
     return this.ask(name, terms);
@@ -170,15 +170,15 @@
     workspace: string,
     waiters: readonly Waiter[],
   ): Promise<QuotaAnswer | undefined> {
-    const keeper = this.keeperOf(workspace);
+    const counter = this.counterOf(workspace);
     const terms = waiters.at(-1)?.terms;
-    if (keeper === undefined || terms === undefined) return undefined;
+    if (counter === undefined || terms === undefined) return undefined;
     try {
-      const ask = { workspace, terms, wanted: waiters.length };
-      return (await keeper.request('quotaAsk', ask, ASK_TIMEOUT_MS)) as QuotaAnswer;
+      const request = { workspace, terms, wanted: waiters.length };
+      return (await counter.request('quotaAsk', request, ASK_TIMEOUT_MS)) as QuotaAnswer;
     } catch (error) {
       const reason = error instanceof Error ? error.message : String(error);
-      const peer = keeper.peerName;
+      const peer = counter.peerName;
       this.avoidUntilMs.set(peer, this.options.nowMs() + AVOID_MS);
       this.options.logger.info('quota not known', { step: 'quota', peer, workspace, reason });
       return undefined;
@@ -194,7 +194,7 @@
 
   private tell(): void {
     const { controls, nowMs } = this.options;
-    const reports = this.share.takeReports((name) => this.keeperOf(name)?.peerName, nowMs());
+    const reports = this.share.takeReports((name) => this.counterOf(name)?.peerName, nowMs());
     if (reports.size === 0) return;
     for (const control of controls.ready) {
       const own = reports.get(control.peerName);
@@ -206,22 +206,22 @@
    * The control process that keeps the count of a workspace: the same for all entries that reach the same ones.
    * Undefined where none is reached.
    */
-  private keeperOf(workspace: string): PeerClient | undefined {
+  private counterOf(workspace: string): PeerClient | undefined {
     const nowMs = this.options.nowMs();
     const reached = this.options.controls.ready.filter(
       ({ peerName }) => (this.avoidUntilMs.get(peerName) ?? -Infinity) <= nowMs,
     );
     const names = reached.map(({ peerName }) => peerName);
     const key = names.join();
-    if (key !== this.keepersOf) {
-      this.keepersOf = key;
-      this.keepers = new Map();
+    if (key !== this.countersOf) {
+      this.countersOf = key;
+      this.counters = new Map();
     }
-    const known = this.keepers.get(workspace);
+    const known = this.counters.get(workspace);
     if (known !== undefined) return known;
     const chosen = rendezvousOrder(`quota|${workspace}`, names, 1)[0];
-    const keeper = reached.find(({ peerName }) => peerName === chosen);
-    if (keeper !== undefined) this.keepers.set(workspace, keeper);
-    return keeper;
+    const counter = reached.find(({ peerName }) => peerName === chosen);
+    if (counter !== undefined) this.counters.set(workspace, counter);
+    return counter;
   }
 }
--- a/packages/gateway/src/request-intake.ts
+++ b/packages/gateway/src/request-intake.ts
@@ -2,14 +2,14 @@
  * Takes the requests of callers: finds their route, works out how long they may take, and refuses what
  * has no route or comes too late before a planned stop.
  */
-import { CallerPatience } from '@shedline/admission';
+import { CallerTimeLimits } from '@shedline/admission';
 import { chooseService } from '@shedline/fleet';
 import type { KnownFleet, Route, RouteTable, Workspace } from '@shedline/fleet';
-import type { AnswerSink, CallerRequest, Forwarder } from '@shedline/forwarding';
+import type { ResponseSink, CallerRequest, Forwarder } from '@shedline/forwarding';
 import type { Logger } from '@shedline/logger';
 import type { ProcessMetrics } from '@shedline/metrics';
 import type { PlannedStop } from './planned-stop.js';
-import type { QuotaDesk, QuotaRefusal, QuotaVerdict } from './quota-desk.js';
+import type { QuotaEnforcer, QuotaRefusal, QuotaVerdict } from './quota-enforcer.js';
 
 /** When a caller should come back that was not served while the entry started, elsewhere. */
 const NOT_READY_RETRY_MS = 300;
@@ -40,7 +40,7 @@
 export interface RequestIntakeOptions {
   readonly fleet: KnownFleet;
   readonly forwarder: Forwarder;
-  readonly quotas: Pick<QuotaDesk, 'enter' | 'giveBack'>;
+  readonly quotas: Pick<QuotaEnforcer, 'enter' | 'giveBack'>;
   readonly stop: Pick<PlannedStop, 'isClosing'>;
   readonly metrics: ProcessMetrics;
   readonly logger: Logger;
@@ -53,7 +53,7 @@
   private readonly options: RequestIntakeOptions;
   private openCount = 0;
   /** By route name. */
-  private readonly patience = new Map<string, CallerPatience>();
+  private readonly timeLimits = new Map<string, CallerTimeLimits>();
 
   constructor(options: RequestIntakeOptions) {
     this.options = options;
@@ -65,7 +65,7 @@
   }
 
   /** Forwards a request; its answer goes into the sink. */
-  async forward(incoming: IncomingRequest, sink: AnswerSink): Promise<void> {
+  async forward(incoming: IncomingRequest, sink: ResponseSink): Promise<void> {
     const { caller, host, workspace, heldMs } = incoming;
     if (this.options.stop.isClosing) {
       this.refuseStopping(caller.requestId, sink);
@@ -97,7 +97,7 @@
     return this.options.quotas.enter(workspace, version);
   }
 
-  private async run(admitted: AdmittedRequest, sink: AnswerSink): Promise<void> {
+  private async run(admitted: AdmittedRequest, sink: ResponseSink): Promise<void> {
     const { caller, workspace, route, routes, timeLeftMs, beganMs } = admitted;
     const { forwarder, quotas, metrics, random, nowMs } = this.options;
     const limitMs = Math.min(route.timeLimitMs, timeLeftMs ?? route.timeLimitMs);
@@ -121,14 +121,14 @@
   /** Time since the first attempt of a caller, as far as it shows. */
   private ageMs(route: Route, timeLeftMs: number | undefined): number {
     if (timeLeftMs === undefined) return 0;
-    const known = this.patience.get(route.name);
-    const patience = known ?? new CallerPatience();
-    if (known === undefined) this.patience.set(route.name, patience);
-    patience.note(timeLeftMs);
-    return patience.ageMs(timeLeftMs);
+    const known = this.timeLimits.get(route.name);
+    const timeLimits = known ?? new CallerTimeLimits();
+    if (known === undefined) this.timeLimits.set(route.name, timeLimits);
+    timeLimits.note(timeLeftMs);
+    return timeLimits.ageMs(timeLeftMs);
   }
 
-  private refuseStopping(request: string, sink: AnswerSink): void {
+  private refuseStopping(request: string, sink: ResponseSink): void {
     this.options.logger.info('request refused', { step: 'stop', request, outcome: 503 });
     sink.refuse(503, { retryAfterMs: STOPPING_RETRY_MS });
   }
@@ -136,7 +136,7 @@
   private refuseOverQuota(
     { caller, workspace }: IncomingRequest,
     { status, retryAfterMs }: QuotaRefusal,
-    sink: AnswerSink,
+    sink: ResponseSink,
   ): void {
     this.options.logger.info('request refused', {
       step: 'quota',
@@ -150,7 +150,7 @@
     sink.refuse(status, { retryAfterMs });
   }
 
-  private refuseUnrouted({ caller, host }: IncomingRequest, sink: AnswerSink): void {
+  private refuseUnrouted({ caller, host }: IncomingRequest, sink: ResponseSink): void {
     const version = this.options.fleet.position.version;
     const status = this.options.fleet.routes !== undefined ? 404 : 503;
     this.options.logger.info('request refused', {
--- a/packages/gateway/src/start-gate.test.ts
+++ b/packages/gateway/src/start-gate.test.ts
@@ -1,10 +1,10 @@
 import test from 'ava';
 import { describe, title } from '@shedline/test-utils';
 import { StartGate } from './start-gate.js';
-import type { Leaver } from './start-gate.js';
+import type { DisconnectNotifier } from './start-gate.js';
 
 /** A caller that the test can make leave. */
-class FakeCaller implements Leaver {
+class FakeCaller implements DisconnectNotifier {
   private listeners: (() => void)[] = [];
 
   onGone(listener: () => void): void {
--- a/packages/gateway/src/start-gate.ts
+++ b/packages/gateway/src/start-gate.ts
@@ -22,7 +22,7 @@
 }
 
 /** Tells of a caller that leaves. */
-export interface Leaver {
+export interface DisconnectNotifier {
   /** Called once if the caller goes away before its answer is complete, or has gone already. */
   onGone(listener: () => void): void;
 }
@@ -66,7 +66,7 @@
    * Resolves when the gate opens, the time to hold requests is over, or the caller leaves; gives
    * the time that the request was held.
    */
-  async pass(caller: Leaver): Promise<number> {
+  async pass(caller: DisconnectNotifier): Promise<number> {
     const { holdMs } = this;
     if (holdMs === 0) return 0;
     const sinceMs = this.options.nowMs();
@@ -74,7 +74,7 @@
     return this.options.nowMs() - sinceMs;
   }
 
-  private released(caller: Leaver, holdMs: number): Promise<void> {
+  private released(caller: DisconnectNotifier, holdMs: number): Promise<void> {
     return new Promise((resolve) => {
       const timer = setTimeout(() => {
         wake();
--- a/packages/gateway/src/confirmation.test.ts
+++ b/packages/gateway/src/state-freshness.test.ts
@@ -1,10 +1,10 @@
 import test from 'ava';
 import type { LogFields, Logger } from '@shedline/logger';
 import { describe, title } from '@shedline/test-utils';
-import { Confirmation } from './confirmation.js';
+import { StateFreshness } from './state-freshness.js';
 
 interface Setup {
-  readonly confirmation: Confirmation;
+  readonly freshness: StateFreshness;
   readonly lines: [string, LogFields | undefined][];
   nowMs: number;
 }
@@ -14,34 +14,34 @@
   const note = (message: string, fields?: LogFields): number => lines.push([message, fields]);
   const logger: Logger = { error: note, warn: note, info: note, debug: note };
   const all = { lines, nowMs: 10_000 };
-  const confirmation = new Confirmation({
+  const freshness = new StateFreshness({
     logger,
     nowMs: () => all.nowMs,
     version: () => 7,
     connected: () => ['c1'],
   });
-  return Object.assign(all, { confirmation });
+  return Object.assign(all, { freshness });
 }
 
-describe('Confirmation', () => {
+describe('StateFreshness', () => {
   test(title('says nothing before the first confirmation: the entry still starts'), (t) => {
     const all = setup();
-    all.confirmation.look();
+    all.freshness.look();
     t.deepEqual(all.lines, []);
-    t.is(all.confirmation.ageMs, Infinity);
+    t.is(all.freshness.ageMs, Infinity);
   });
 
   test(title('tells once when none comes any more, and once when one comes again'), (t) => {
     const all = setup();
-    all.confirmation.confirmed(10_000, 'c1');
+    all.freshness.confirmed(10_000, 'c1');
     all.nowMs = 12_999;
-    all.confirmation.look();
+    all.freshness.look();
     t.deepEqual(all.lines, []);
     all.nowMs = 13_000;
-    all.confirmation.look();
-    all.confirmation.look();
+    all.freshness.look();
+    all.freshness.look();
     // A control process that is cut off from the quorum answers, and confirms nothing.
-    all.confirmation.confirmed(9000, 'c1');
+    all.freshness.confirmed(9000, 'c1');
     t.deepEqual(all.lines, [
       [
         'state of the fleet not confirmed',
@@ -49,8 +49,8 @@
       ],
     ]);
     all.nowMs = 14_000;
-    all.confirmation.confirmed(13_900, 'c2');
-    t.is(all.confirmation.ageMs, 100);
+    all.freshness.confirmed(13_900, 'c2');
+    t.is(all.freshness.ageMs, 100);
     t.deepEqual(all.lines.at(-1), [
       'state of the fleet confirmed again',
       { step: 'configure', version: 7, peer: 'c2' },
--- a/packages/gateway/src/confirmation.ts
+++ b/packages/gateway/src/state-freshness.ts
@@ -10,8 +10,8 @@
  */
 const EXPECTED_WITHIN_MS = 3000;
 
-/** Options of {@link Confirmation}. */
-export interface ConfirmationOptions {
+/** Options of {@link StateFreshness}. */
+export interface StateFreshnessOptions {
   readonly logger: Logger;
   readonly nowMs: () => number;
   /** Version of the configuration in force here. */
@@ -21,13 +21,13 @@
 }
 
 /** Age of what an entry knows of the fleet's state. */
-export class Confirmation {
-  private readonly options: ConfirmationOptions;
+export class StateFreshness {
+  private readonly options: StateFreshnessOptions;
   private confirmedAtMs = -Infinity;
   private isExpected = false;
   private isMissing = false;
 
-  constructor(options: ConfirmationOptions) {
+  constructor(options: StateFreshnessOptions) {
     this.options = options;
   }
 
--- a/packages/gateway/src/store-links.test.ts
+++ b/packages/gateway/src/store-links.test.ts
@@ -8,7 +8,7 @@
 const GROUP = 2;
 
 /** Notes which connections are wanted; every question is answered by the name asked. */
-class FakeBook {
+class FakeConnections {
   readonly asked: string[] = [];
   private readonly names = new Set<string>();
 
@@ -59,37 +59,37 @@
   });
 }
 
-function linksTo(book: FakeBook, all: readonly MemberRecord[]): StoreLinks {
-  return new StoreLinks({ book, stores: () => all, groups: () => new Set([GROUP]) });
+function linksTo(connections: FakeConnections, all: readonly MemberRecord[]): StoreLinks {
+  return new StoreLinks({ connections, stores: () => all, groups: () => new Set([GROUP]) });
 }
 
 describe('StoreLinks', () => {
   test(title('connects to the leader of a group that it needs, and to no other store'), (t) => {
-    const book = new FakeBook();
-    linksTo(book, stores()).update();
-    t.deepEqual(book.open, ['store-22']);
+    const connections = new FakeConnections();
+    linksTo(connections, stores()).update();
+    t.deepEqual(connections.open, ['store-22']);
   });
 
   test(title('asks the leader, then those that hold the group, then the others'), async (t) => {
-    const book = new FakeBook();
-    const ports = linksTo(book, stores()).ports(GROUP);
+    const connections = new FakeConnections();
+    const ports = linksTo(connections, stores()).ports(GROUP);
     t.is(ports.length, STORE_COUNT);
     t.true(ports.every(({ isReady }) => isReady));
     const names = ports.slice(0, 5).map(({ name }) => name);
     t.deepEqual(names, ['store-22', 'store-20', 'store-21', 'store-23', 'store-24']);
     await ports[1]?.call('ask', {}, 100);
-    t.deepEqual(book.asked, ['store-20']);
-    t.deepEqual(book.open, ['store-20'], 'opened for the question');
+    t.deepEqual(connections.asked, ['store-20']);
+    t.deepEqual(connections.open, ['store-20'], 'opened for the question');
   });
 
   test(title('follows a leader that changes'), (t) => {
-    const book = new FakeBook();
+    const connections = new FakeConnections();
     const all = stores();
-    const links = linksTo(book, all);
+    const links = linksTo(connections, all);
     links.update();
     all[22] = store(22, { holds: [GROUP], leads: [] });
     all[24] = store(24, { holds: [GROUP], leads: [GROUP] });
     links.update();
-    t.deepEqual(book.open, ['store-24']);
+    t.deepEqual(connections.open, ['store-24']);
   });
 });
--- a/packages/gateway/src/store-links.ts
+++ b/packages/gateway/src/store-links.ts
@@ -5,14 +5,14 @@
  */
 import type { CallPort } from '@shedline/control-client';
 import type { MemberRecord } from '@shedline/mesh';
-import type { PeerBook } from '@shedline/transport';
+import type { PeerConnections } from '@shedline/transport';
 
 /** Time that a connection outlives the need for it: leaders change back and forth around a fault. */
 export const STORE_LINGER_MS = 10_000;
 
 /** Options of {@link StoreLinks}. */
 export interface StoreLinksOptions {
-  readonly book: Pick<PeerBook, 'add' | 'get' | 'keepOnly'>;
+  readonly connections: Pick<PeerConnections, 'add' | 'get' | 'keepOnly'>;
   /** Stores that are up. */
   readonly stores: () => readonly MemberRecord[];
   /** Groups that this entry needs. */
@@ -29,11 +29,11 @@
 
   /** Connects to the leaders of the groups needed; all others end after a while. */
   update(): void {
-    const { book, stores, groups } = this.options;
+    const { connections, stores, groups } = this.options;
     const needed = groups();
     const leaders = stores().filter(({ leads }) => leads?.some((group) => needed.has(group)));
-    for (const leader of leaders) book.add(leader);
-    book.keepOnly(new Set(leaders.map(({ name }) => name)));
+    for (const leader of leaders) connections.add(leader);
+    connections.keepOnly(new Set(leaders.map(({ name }) => name)));
   }
 
   /** The stores as places to ask about a group: its leader, then those that hold it, then the others. */
@@ -43,15 +43,15 @@
   }
 
   private portOf(store: MemberRecord): CallPort {
-    const { book } = this.options;
-    const open = book.get(store.name);
+    const { connections } = this.options;
+    const open = connections.get(store.name);
     return {
       name: store.name,
       // One to which no connection was tried yet may well answer.
       isReady: open === undefined || open.isReady,
       call: (method, payload, timeoutMs) => {
-        book.add(store);
-        const client = book.get(store.name);
+        connections.add(store);
+        const client = connections.get(store.name);
         if (client === undefined) return Promise.reject(new Error(`${store.name} is not known`));
         return client.request(method, payload, timeoutMs);
       },
--- a/packages/gateway/src/reach-keeper.test.ts
+++ b/packages/gateway/src/subset-tracker.test.ts
@@ -1,29 +1,29 @@
 import test from 'ava';
-import type { Placed } from '@shedline/directory';
+import type { ZonedName } from '@shedline/directory';
 import { describe, title } from '@shedline/test-utils';
-import { ReachKeeper } from './reach-keeper.js';
+import { SubsetTracker } from './subset-tracker.js';
 
-function placed(kind: string, count: number): Placed[] {
+function placed(kind: string, count: number): ZonedName[] {
   return Array.from({ length: count }, (_, number) => ({
     name: `${kind}-${number}`,
     availabilityZone: `z${number % 5}`,
   }));
 }
 
-describe('ReachKeeper', () => {
+describe('SubsetTracker', () => {
   test(title('counts as many entries with batch work as there are endpoints at most'), (t) => {
     let endpoints = placed('endpoint', 52);
-    const keeper = new ReachKeeper({
+    const tracker = new SubsetTracker({
       self: 'entry-0',
       entries: () => placed('entry', 165),
       endpoints: () => endpoints,
     });
-    t.true(keeper.refresh());
-    t.false(keeper.refresh(), 'nothing came or went');
-    t.is(keeper.entryCount, 165);
-    t.is(keeper.batchEntryCount, 52);
+    t.true(tracker.refresh());
+    t.false(tracker.refresh(), 'nothing came or went');
+    t.is(tracker.entryCount, 165);
+    t.is(tracker.batchEntryCount, 52);
     endpoints = placed('endpoint', 300);
-    t.true(keeper.refresh());
-    t.is(keeper.batchEntryCount, 165);
+    t.true(tracker.refresh());
+    t.is(tracker.batchEntryCount, 165);
   });
 });
--- a/packages/gateway/src/reach-keeper.ts
+++ b/packages/gateway/src/subset-tracker.ts
@@ -1,29 +1,29 @@
 /**
  * Keeps the division of the fleet as this entry sees it up to date.
  */
-import { Reach } from '@shedline/directory';
-import type { Placed } from '@shedline/directory';
+import { EndpointSubsets } from '@shedline/directory';
+import type { ZonedName } from '@shedline/directory';
 
-/** Options of {@link ReachKeeper}. */
-export interface ReachKeeperOptions {
+/** Options of {@link SubsetTracker}. */
+export interface SubsetTrackerOptions {
   /** Name of this entry. */
   readonly self: string;
   /** Entries that serve now, this one included. */
-  readonly entries: () => readonly Placed[];
+  readonly entries: () => readonly ZonedName[];
   /** Endpoints that are up now. */
-  readonly endpoints: () => readonly Placed[];
+  readonly endpoints: () => readonly ZonedName[];
 }
 
 /** The division in force. */
-export class ReachKeeper {
-  private readonly options: ReachKeeperOptions;
-  private reach = new Reach({ entries: [], endpoints: [] });
+export class SubsetTracker {
+  private readonly options: SubsetTrackerOptions;
+  private subsets = new EndpointSubsets({ entries: [], endpoints: [] });
   private own: ReadonlySet<string> = new Set();
   private key = '';
   private entries = 1;
   private endpointCount = 0;
 
-  constructor(options: ReachKeeperOptions) {
+  constructor(options: SubsetTrackerOptions) {
     this.options = options;
   }
 
@@ -36,8 +36,8 @@
     this.key = key;
     this.entries = entries.length;
     this.endpointCount = endpoints.length;
-    this.reach = new Reach({ entries, endpoints });
-    this.own = new Set(this.reach.endpointsOf(this.options.self));
+    this.subsets = new EndpointSubsets({ entries, endpoints });
+    this.own = new Set(this.subsets.endpointsOf(this.options.self));
     return true;
   }
 
@@ -48,12 +48,12 @@
 
   /** Entries that use an endpoint. */
   usersOf(endpointId: string): readonly string[] {
-    return this.reach.entriesOf(endpointId);
+    return this.subsets.entriesOf(endpointId);
   }
 
   /** Entries that may run batch work at an endpoint: bodies and events stay in its zone. */
   batchUsersOf(endpointId: string): readonly string[] {
-    return this.reach.nearEntriesOf(endpointId);
+    return this.subsets.nearEntriesOf(endpointId);
   }
 
   /** Entries that serve, this one included. */
@@ -68,11 +68,11 @@
 
   /** Other entries that share endpoints with this one. */
   get peers(): readonly string[] {
-    return this.reach.peersOf(this.options.self);
+    return this.subsets.peersOf(this.options.self);
   }
 }
 
-function namesOf(placed: readonly Placed[]): string {
+function namesOf(placed: readonly ZonedName[]): string {
   return placed
     .map(({ name, availabilityZone }) => `${availabilityZone}|${name}`)
     .sort()
--- a/packages/mesh/src/index.ts
+++ b/packages/mesh/src/index.ts
@@ -2,6 +2,6 @@
  * Membership of a fleet whose processes know only a few seed addresses.
  */
 export * from './member-record.js';
-export * from './member-register.js';
+export * from './member-registry.js';
 export * from './member-view.js';
 export * from './mesh.js';
--- a/packages/mesh/src/core-memory.ts
+++ b/packages/mesh/src/known-core-members.ts
@@ -18,29 +18,29 @@
 }
 
 /** A control process that is heard again. */
-export interface HeardAgain {
+export interface ReappearedControl {
   readonly name: string;
   readonly silentMs: number;
 }
 
 /** What changed since the last look at the list of processes that are up. */
-export interface CoreNews {
+export interface CoreChanges {
   /** Names of control processes that no list holds any more. */
   readonly silent: readonly string[];
-  readonly heardAgain: readonly HeardAgain[];
+  readonly reappeared: readonly ReappearedControl[];
 }
 
 /** Control processes with a disk that were up at some time. */
-export class CoreMemory {
+export class KnownCoreMembers {
   private readonly remembered = new Map<string, Remembered>();
 
   /** Takes the control processes that are up now. */
-  note(controls: readonly MemberRecord[], nowMs: number): CoreNews {
+  note(controls: readonly MemberRecord[], nowMs: number): CoreChanges {
     const core = controls.filter(isCore);
-    const heardAgain = core.flatMap((record) => this.hear(record, nowMs) ?? []);
+    const reappeared = core.flatMap((record) => this.hear(record, nowMs) ?? []);
     const silent = this.noteSilent(new Set(core.map(({ name }) => name)));
     this.forget(nowMs);
-    return { silent, heardAgain };
+    return { silent, reappeared };
   }
 
   /** Those that are silent now. */
@@ -49,7 +49,7 @@
     return all.filter(({ isSilent }) => isSilent).map(({ address }) => address);
   }
 
-  private hear({ name, host, port }: MemberRecord, nowMs: number): HeardAgain | undefined {
+  private hear({ name, host, port }: MemberRecord, nowMs: number): ReappearedControl | undefined {
     const known = this.remembered.get(name);
     this.remembered.set(name, {
       address: { name, host, port },
--- a/packages/mesh/src/link-silence.test.ts
+++ b/packages/mesh/src/link-silence.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import { describe, title } from '@shedline/test-utils';
 import { NEWS_SILENCE_NOTICED_MS } from '@shedline/transport';
-import { MEMBER_LEASE_MS } from './member-register.js';
+import { MEMBER_LEASE_MS } from './member-registry.js';
 
 /** Time to connect anew and to prove the secret, on an instance with a third of a core. */
 const RECONNECT_MS = 100;
--- a/packages/mesh/src/member-register.ts
+++ b/packages/mesh/src/member-registry.ts
@@ -36,7 +36,7 @@
 }
 
 /** Records heard directly, with leases. */
-export class MemberRegister {
+export class MemberRegistry {
   private readonly heard = new Map<string, Heard>();
   /** Version at which each process departed, oldest first. */
   private readonly departures = new Map<string, number>();
--- a/packages/mesh/src/member-view.ts
+++ b/packages/mesh/src/member-view.ts
@@ -3,7 +3,7 @@
  * is cut off from a process must not make it vanish for all.
  */
 import type { MemberKind, MemberRecord } from './member-record.js';
-import type { MemberChanges } from './member-register.js';
+import type { MemberChanges } from './member-registry.js';
 
 /** Silence of a control process after which its list no longer counts beside fresher ones. */
 const LIST_LEASE_MS = 2600;
--- a/packages/mesh/src/mesh.test.ts
+++ b/packages/mesh/src/mesh.test.ts
@@ -1,8 +1,8 @@
 import test from 'ava';
 import fc from 'fast-check';
 import { describe, title } from '@shedline/test-utils';
-import { CLOSED_LEASE_MS, MEMBER_LEASE_MS, MemberRegister } from './member-register.js';
-import type { MemberChanges } from './member-register.js';
+import { CLOSED_LEASE_MS, MEMBER_LEASE_MS, MemberRegistry } from './member-registry.js';
+import type { MemberChanges } from './member-registry.js';
 import { MemberView } from './member-view.js';
 import type { MemberRecord } from './member-record.js';
 
@@ -26,35 +26,35 @@
   return { version: 1, changed: members, gone: [] };
 }
 
-describe('member register', () => {
+describe('member registry', () => {
   test(title('lists a process until it is silent for longer than its lease'), (t) => {
-    const register = new MemberRegister();
-    register.hear(record(), 0);
-    const { version } = register.live(10);
-    register.hear(record(), 1000);
-    t.is(register.live(1000 + MEMBER_LEASE_MS - 1).version, version);
-    t.is(register.live(1000 + MEMBER_LEASE_MS).members.length, 0);
-    t.not(register.live(1000 + MEMBER_LEASE_MS).version, version);
+    const registry = new MemberRegistry();
+    registry.hear(record(), 0);
+    const { version } = registry.live(10);
+    registry.hear(record(), 1000);
+    t.is(registry.live(1000 + MEMBER_LEASE_MS - 1).version, version);
+    t.is(registry.live(1000 + MEMBER_LEASE_MS).members.length, 0);
+    t.not(registry.live(1000 + MEMBER_LEASE_MS).version, version);
   });
 
   test(title('a process whose connection closed is gone soon, unless it speaks again'), (t) => {
-    const register = new MemberRegister();
-    register.hear(record(), 0);
-    register.connectionClosed(record().name, 100);
-    t.is(register.live(100 + CLOSED_LEASE_MS - 1).members.length, 1);
-    register.hear(record(), 100 + CLOSED_LEASE_MS - 1);
-    t.is(register.live(100 + CLOSED_LEASE_MS + 500).members.length, 1);
-    register.connectionClosed(record().name, 1500);
-    t.is(register.live(1500 + CLOSED_LEASE_MS).members.length, 0);
+    const registry = new MemberRegistry();
+    registry.hear(record(), 0);
+    registry.connectionClosed(record().name, 100);
+    t.is(registry.live(100 + CLOSED_LEASE_MS - 1).members.length, 1);
+    registry.hear(record(), 100 + CLOSED_LEASE_MS - 1);
+    t.is(registry.live(100 + CLOSED_LEASE_MS + 500).members.length, 1);
+    registry.connectionClosed(record().name, 1500);
+    t.is(registry.live(1500 + CLOSED_LEASE_MS).members.length, 0);
   });
 
   test(title('a late word of the same run changes nothing, a new run replaces it'), (t) => {
-    const register = new MemberRegister();
-    register.hear(record({ sequence: 3, state: 'draining' }), 0);
-    register.hear(record({ sequence: 2, state: 'ready' }), 10);
-    t.is(register.live(10).members[0]?.state, 'draining');
-    register.hear(record({ epoch: 'second', sequence: 1, state: 'starting' }), 20);
-    t.is(register.live(20).members[0]?.state, 'starting');
+    const registry = new MemberRegistry();
+    registry.hear(record({ sequence: 3, state: 'draining' }), 0);
+    registry.hear(record({ sequence: 2, state: 'ready' }), 10);
+    t.is(registry.live(10).members[0]?.state, 'draining');
+    registry.hear(record({ epoch: 'second', sequence: 1, state: 'starting' }), 20);
+    t.is(registry.live(20).members[0]?.state, 'starting');
   });
 });
 
@@ -70,7 +70,7 @@
       });
       fc.assert(
         fc.property(fc.array(step, { maxLength: 60 }), (steps) => {
-          const register = new MemberRegister();
+          const registry = new MemberRegistry();
           const view = new MemberView();
           let nowMs = 0;
           let sequence = 0;
@@ -78,14 +78,14 @@
           for (const { name, leaves, gapMs, reads } of steps) {
             nowMs += gapMs;
             sequence += 1;
-            if (leaves) register.forget(`p${name}`);
-            else register.hear(record({ name: `p${name}`, sequence }), nowMs);
+            if (leaves) registry.forget(`p${name}`);
+            else registry.hear(record({ name: `p${name}`, sequence }), nowMs);
             if (!reads) continue;
-            const changes = register.changesSince(known, nowMs);
+            const changes = registry.changesSince(known, nowMs);
             known = changes.version;
             if (!view.hear('control', changes, nowMs)) return false;
             const names = view.live('entry', nowMs).map((one) => `${one.name} ${one.sequence}`);
-            const expected = register.live(nowMs).members;
+            const expected = registry.live(nowMs).members;
             const wanted = expected.map((one) => `${one.name} ${one.sequence}`).sort();
             if (names.join() !== wanted.join()) return false;
           }
@@ -98,13 +98,13 @@
   );
 
   test(title('begin with the whole list where too many departures were missed'), (t) => {
-    const register = new MemberRegister();
+    const registry = new MemberRegistry();
     for (let number = 0; number < 300; number += 1) {
-      register.hear(record({ name: `p${number}` }), 0);
-      register.forget(`p${number}`);
+      registry.hear(record({ name: `p${number}` }), 0);
+      registry.forget(`p${number}`);
     }
-    t.is(register.changesSince(1, 0).since, undefined);
-    t.is(register.changesSince(599, 0).since, 599);
+    t.is(registry.changesSince(1, 0).since, undefined);
+    t.is(registry.changesSince(599, 0).since, 599);
   });
 
   test(title('to a list that is not held are not taken'), (t) => {
--- a/packages/mesh/src/mesh.ts
+++ b/packages/mesh/src/mesh.ts
@@ -3,13 +3,13 @@
  * it finds through a few seed addresses, and takes their lists of processes that are up.
  */
 import type { Logger } from '@shedline/logger';
-import { PeerBook } from '@shedline/transport';
+import { PeerConnections } from '@shedline/transport';
 import type { Link, LinkHandlers, PeerAddress } from '@shedline/transport';
 import { controlsToReach, isCore } from './control-choice.js';
-import { CoreMemory } from './core-memory.js';
+import { KnownCoreMembers } from './known-core-members.js';
 import type { MemberKind, MemberRecord, MemberState } from './member-record.js';
-import { MemberRegister } from './member-register.js';
-import type { MemberChanges } from './member-register.js';
+import { MemberRegistry } from './member-registry.js';
+import type { MemberChanges } from './member-registry.js';
 import { MemberView } from './member-view.js';
 
 /** Time between announcements; several fit into the lease of a member. */
@@ -49,11 +49,11 @@
 /** A process's place in its fleet. */
 export class Mesh {
   /** Connections to the control processes. */
-  readonly controls: PeerBook;
+  readonly controls: PeerConnections;
   private readonly options: MeshOptions;
-  private readonly register = new MemberRegister();
+  private readonly registry = new MemberRegistry();
   private readonly view = new MemberView();
-  private readonly coreMemory = new CoreMemory();
+  private readonly knownCore = new KnownCoreMembers();
   /** Version of this process's list that each link has. */
   private readonly sentVersions = new WeakMap<Link, number>();
   private readonly links = new Set<Link>();
@@ -70,7 +70,7 @@
     this.options = options;
     this.seeds = options.seeds;
     this.record = { ...options.record, sequence: 1, state: 'starting' };
-    this.controls = new PeerBook({
+    this.controls = new PeerConnections({
       name: options.record.name,
       secret: options.secret,
       use: 'news',
@@ -118,7 +118,7 @@
 
   /** Control processes with a disk that were up and are silent now. */
   get silentCore(): readonly PeerAddress[] {
-    return this.coreMemory.silent;
+    return this.knownCore.silent;
   }
 
   /** Says that this process takes work now, or no longer does. */
@@ -144,12 +144,12 @@
     const nowMs = this.options.nowMs();
     if (method === ANNOUNCE) {
       this.links.add(link);
-      this.register.hear(payload as MemberRecord, nowMs);
+      this.registry.hear(payload as MemberRecord, nowMs);
       this.sendChanges(link);
       return true;
     }
     if (method === LEAVE) {
-      this.register.forget(payload as string);
+      this.registry.forget(payload as string);
       return true;
     }
     if (method === LIST) {
@@ -184,8 +184,8 @@
   private announce(): void {
     if (this.record.kind === 'control') {
       const nowMs = this.options.nowMs();
-      this.register.hear(this.record, nowMs);
-      this.view.hear(this.record.name, this.register.changesSince(undefined, nowMs), nowMs);
+      this.registry.hear(this.record, nowMs);
+      this.view.hear(this.record.name, this.registry.changesSince(undefined, nowMs), nowMs);
     }
     for (const control of this.controls.ready) control.send(ANNOUNCE, this.record);
   }
@@ -222,7 +222,7 @@
     const wanted = controlsToReach({
       seeds: this.seeds,
       hasTold: (name) => this.toldBy.has(name) || name === this.record.name,
-      lastingCore: [...this.coreMemory.silent, ...(this.options.coreMembers?.() ?? [])],
+      lastingCore: [...this.knownCore.silent, ...(this.options.coreMembers?.() ?? [])],
       controls,
       isConnected: (name) => this.controls.get(name)?.isReady === true,
     });
@@ -232,9 +232,9 @@
 
   private noteCore(controls: readonly MemberRecord[]): void {
     const { logger, nowMs } = this.options;
-    const { silent, heardAgain } = this.coreMemory.note(controls, nowMs());
+    const { silent, reappeared } = this.knownCore.note(controls, nowMs());
     for (const peer of silent) logger.info('control process silent', { step: 'join', peer });
-    for (const { name: peer, silentMs } of heardAgain) {
+    for (const { name: peer, silentMs } of reappeared) {
       logger.info('control process heard again', { step: 'join', peer, silentMs });
     }
   }
@@ -246,13 +246,13 @@
   private tellOfCore(): void {
     const nowMs = this.options.nowMs();
     const core = this.view.liveExcept('control', this.record.name, nowMs).filter(isCore);
-    for (const record of core) this.register.hear(record, nowMs);
+    for (const record of core) this.registry.hear(record, nowMs);
   }
 
   /** Tells the connected processes what changed, and notes connections that closed. */
   private sendLists(): void {
     const nowMs = this.options.nowMs();
-    const version = this.register.versionAt(nowMs);
+    const version = this.registry.versionAt(nowMs);
     for (const link of this.links) {
       if (link.isReady) {
         if (this.sentVersions.get(link) !== version) this.sendChanges(link);
@@ -260,12 +260,12 @@
       }
       this.links.delete(link);
       const isBack = [...this.links].some((other) => other.peerName === link.peerName);
-      if (!isBack) this.register.connectionClosed(link.peerName, nowMs);
+      if (!isBack) this.registry.connectionClosed(link.peerName, nowMs);
     }
   }
 
   private sendChanges(link: Link): void {
-    const changes = this.register.changesSince(this.sentVersions.get(link), this.options.nowMs());
+    const changes = this.registry.changesSince(this.sentVersions.get(link), this.options.nowMs());
     link.send(LIST, changes);
     this.sentVersions.set(link, changes.version);
   }
--- a/packages/quarantine/src/known-crashes.ts
+++ b/packages/quarantine/src/known-crashes.ts
@@ -21,7 +21,7 @@
 const MAX_CLEARED = 512;
 
 /** How a content stands. */
-export type Standing =
+export type ContentStatus =
   | { readonly kind: 'free' }
   | { readonly kind: 'held'; readonly forMs: number }
   /** It may be tried by whoever is let. */
@@ -57,7 +57,7 @@
   /** Contents that are held back. */
   get heldCount(): number {
     const keys = new Set([...this.records.keys(), ...this.own.keys()]);
-    return [...keys].filter((key) => this.standing(key).kind === 'held').length;
+    return [...keys].filter((key) => this.status(key).kind === 'held').length;
   }
 
   /** Takes news of the fleet's record; gives the keys of contents that are held back from now on. */
@@ -83,7 +83,7 @@
   }
 
   /** How a content stands now. */
-  standing(contentKey: string): Standing {
+  status(contentKey: string): ContentStatus {
     const known = this.newest(contentKey);
     if (!isSuspect(known)) return { kind: 'free' };
     const { trials, heardAtMs } = known;
--- a/packages/quarantine/src/quarantine.test.ts
+++ b/packages/quarantine/src/quarantine.test.ts
@@ -111,18 +111,18 @@
     t.true(known.isEmpty);
     records.apply(crashed('c', 0));
     t.deepEqual(follower.follow(records), []);
-    t.is(known.standing('c').kind, 'free');
+    t.is(known.status('c').kind, 'free');
     records.apply(crashed('c', known.crashesOf('c')));
     t.deepEqual(follower.follow(records), ['c']);
-    t.deepEqual(known.standing('c'), { kind: 'held', forMs: 60_000 });
+    t.deepEqual(known.status('c'), { kind: 'held', forMs: 60_000 });
     follower.nowMs += 60_000;
-    t.deepEqual(known.standing('c'), { kind: 'trialDue', trials: 0 });
+    t.deepEqual(known.status('c'), { kind: 'trialDue', trials: 0 });
     records.apply({ type: 'beginTrial', contentKey: 'c', trials: 0 });
     follower.follow(records);
-    t.deepEqual(known.standing('c'), { kind: 'held', forMs: 600_000 }, 'others wait for its end');
+    t.deepEqual(known.status('c'), { kind: 'held', forMs: 600_000 }, 'others wait for its end');
     records.apply(crashed('c', known.crashesOf('c')));
     follower.follow(records);
-    t.deepEqual(known.standing('c'), { kind: 'held', forMs: 600_000 });
+    t.deepEqual(known.status('c'), { kind: 'held', forMs: 600_000 });
   });
 
   test(title('holds what was being answered at the ends only after a third one'), (t) => {
@@ -133,7 +133,7 @@
       records.apply(crashed('beside', known.crashesOf('beside'), true));
       t.deepEqual(follower.follow(records), []);
     }
-    t.is(known.standing('beside').kind, 'free');
+    t.is(known.status('beside').kind, 'free');
     records.apply(crashed('beside', known.crashesOf('beside'), true));
     t.deepEqual(follower.follow(records), ['beside'], 'it ends its endpoints late');
   });
@@ -142,9 +142,9 @@
     const { known } = new Follower();
     known.crashed('c', { knownCrashes: 0, hasBegun: true });
     known.crashed('c', { knownCrashes: 1, hasBegun: false });
-    t.is(known.standing('c').kind, 'free');
+    t.is(known.status('c').kind, 'free');
     known.crashed('c', { knownCrashes: 2, hasBegun: true });
-    t.is(known.standing('c').kind, 'held');
+    t.is(known.status('c').kind, 'held');
   });
 
   test(title('holds what it saw itself before the fleet knows of it'), (t) => {
@@ -153,9 +153,9 @@
     known.crashed('c', { knownCrashes: 0 });
     t.is(known.crashesOf('c'), 1);
     known.crashed('c', { knownCrashes: 1 });
-    t.is(known.standing('c').kind, 'held');
+    t.is(known.status('c').kind, 'held');
     t.true(known.survived('c'));
-    t.is(known.standing('c').kind, 'free');
+    t.is(known.status('c').kind, 'free');
     t.true(known.isEmpty);
   });
 
--- a/packages/quota/src/messages.ts
+++ b/packages/quota/src/messages.ts
@@ -24,14 +24,14 @@
 }
 
 /** Asks whether requests may pass. */
-export interface QuotaAsk {
+export interface QuotaRequest {
   readonly workspace: string;
   readonly terms: QuotaTerms;
   /** Requests that wait for the answer. */
   readonly wanted: number;
 }
 
-/** Answer to {@link QuotaAsk}. */
+/** Answer to {@link QuotaRequest}. */
 export interface QuotaAnswer {
   /** Requests that may pass. */
   readonly granted: number;
--- a/packages/quota/src/request-ledger.ts
+++ b/packages/quota/src/request-ledger.ts
@@ -6,7 +6,7 @@
  * enough of them to judge, up to a workspace that sends ten times its limit at all of them at once.
  */
 import { WINDOW_SLICES } from './messages.js';
-import type { QuotaAnswer, QuotaAsk, QuotaTerms, UsageReport } from './messages.js';
+import type { QuotaAnswer, QuotaRequest, QuotaTerms, UsageReport } from './messages.js';
 import { headroom } from './tolerance.js';
 import type { QuotaTolerance } from './tolerance.js';
 
@@ -81,7 +81,7 @@
   }
 
   /** Lets requests pass as far as there is room. */
-  ask({ workspace, terms, wanted }: QuotaAsk, nowMs: number): QuotaAnswer {
+  ask({ workspace, terms, wanted }: QuotaRequest, nowMs: number): QuotaAnswer {
     const account = this.accountOf(workspace, terms, nowMs);
     const granted = Math.max(0, Math.min(wanted, Math.floor(account.level)));
     account.level -= granted;
--- a/packages/quota/src/request-share.test.ts
+++ b/packages/quota/src/request-share.test.ts
@@ -67,8 +67,8 @@
   test(title('tells each request once, and a new keeper what it let in before'), (t) => {
     const share = shareOf(0, 3);
     const own = terms(5);
-    const reportsTo = (keeper: string | undefined, nowMs: number): unknown => [
-      ...share.takeReports(() => keeper, nowMs),
+    const reportsTo = (counter: string | undefined, nowMs: number): unknown => [
+      ...share.takeReports(() => counter, nowMs),
     ];
     share.passed('w', own, { isCounted: false, nowMs: 0 });
     share.passed('w', own, { isCounted: true, nowMs: 100 });
--- a/packages/quota/src/request-share.ts
+++ b/packages/quota/src/request-share.ts
@@ -30,7 +30,7 @@
   /** Not told yet. */
   unreported: number;
   /** The process that was told last; undefined before the first. */
-  keeper: string | undefined;
+  counter: string | undefined;
   /** Requests let in, by the number of the slice of time. */
   readonly bySlice: Map<number, number>;
   /** Requests let in over the window before the keepers were out of reach. */
@@ -103,19 +103,19 @@
 
   /** What the keepers are to be told; `keeperOf` is undefined where none is reached. */
   takeReports(
-    keeperOf: (workspace: string) => string | undefined,
+    counterOf: (workspace: string) => string | undefined,
     nowMs: number,
   ): Map<string, UsageReport[]> {
     const reports = new Map<string, UsageReport[]>();
     for (const [workspace, count] of this.counts) {
-      const keeper = keeperOf(workspace);
-      if (keeper === undefined) continue;
+      const counter = counterOf(workspace);
+      if (counter === undefined) continue;
       count.beforeAlone = undefined;
-      const report = this.reportTo(keeper, workspace, count, nowMs);
+      const report = this.reportTo(counter, workspace, count, nowMs);
       if (report === undefined) continue;
-      const own = reports.get(keeper) ?? [];
+      const own = reports.get(counter) ?? [];
       own.push(report);
-      reports.set(keeper, own);
+      reports.set(counter, own);
     }
     return reports;
   }
@@ -132,18 +132,18 @@
   }
 
   private reportTo(
-    keeper: string,
+    counter: string,
     workspace: string,
     count: OwnCount,
     nowMs: number,
   ): UsageReport | undefined {
     const { terms, unreported: used } = count;
-    const isNewKeeper = count.keeper !== undefined && count.keeper !== keeper;
-    const usedBefore = isNewKeeper ? this.usedBySlice(count, nowMs) : [];
+    const isNewCounter = count.counter !== undefined && count.counter !== counter;
+    const usedBefore = isNewCounter ? this.usedBySlice(count, nowMs) : [];
     // What is reported now is counted as such.
     if (usedBefore[0] !== undefined) usedBefore[0] = Math.max(0, usedBefore[0] - used);
     const hasHistory = usedBefore.some((slice) => slice > 0);
-    count.keeper = keeper;
+    count.counter = counter;
     count.unreported = 0;
     if (used === 0 && !hasHistory) return undefined;
     return { workspace, terms, used, ...(hasHistory ? { usedBefore } : {}) };
@@ -159,7 +159,7 @@
     const fresh: OwnCount = {
       terms,
       unreported: 0,
-      keeper: undefined,
+      counter: undefined,
       bySlice: new Map(),
       beforeAlone: undefined,
       usedAtMs: nowMs,
--- a/packages/transport/src/link.ts
+++ b/packages/transport/src/link.ts
@@ -9,7 +9,7 @@
 import type { Hello } from './handshake.js';
 import { LinkSilence } from './link-silence.js';
 import type { LinkUse } from './link-silence.js';
-import { addLook, removeLook } from './looks.js';
+import { addPeriodicCheck, removePeriodicCheck } from './periodic-checks.js';
 
 /** Unsent bytes at which one-way messages are dropped; the senders repeat what matters. */
 const MAX_BUFFERED_BYTES = 32 * 1024 * 1024;
@@ -202,7 +202,7 @@
     this.peerName = other.name;
     clearTimeout(this.handshakeTimer);
     this.silence.heard(performance.now());
-    addLook(this.look);
+    addPeriodicCheck(this.look);
     this.options.onReady(this);
   }
 
@@ -246,7 +246,7 @@
 
   private onClosed(): void {
     clearTimeout(this.handshakeTimer);
-    removeLook(this.look);
+    removePeriodicCheck(this.look);
     for (const requestId of [...this.waiting.keys()]) {
       const request = this.settle(requestId);
       request?.reject(this.failure(request.method, 'closed the connection', 'unknown'));
--- a/packages/transport/src/peer-book.test.ts
+++ b/packages/transport/src/peer-connections.test.ts
@@ -3,7 +3,7 @@
 import { setTimeout as pause } from 'node:timers/promises';
 import test from 'ava';
 import { describe, title } from '@shedline/test-utils';
-import { PeerBook } from './peer-book.js';
+import { PeerConnections } from './peer-connections.js';
 import { PeerServer } from './peer-server.js';
 
 const HOST = '127.0.0.1';
@@ -60,25 +60,29 @@
   };
 }
 
-describe('peer book', () => {
+describe('peer connections', () => {
   test(title('connects to those that are added, and closes those that are not kept'), async (t) => {
     const [first, second] = await Promise.all([peer('first'), peer('second')]);
     const ready: string[] = [];
-    const book = new PeerBook({ name: 'own', secret: SECRET, onReady: (name) => ready.push(name) });
-    book.add({ name: 'first', host: HOST, port: first.port });
-    book.add({ name: 'first', host: HOST, port: 1 });
-    book.add({ name: 'second', host: HOST, port: second.port });
-    book.add({ name: 'own', host: HOST, port: 1 });
-    await until(() => book.ready.length === 2);
-    t.deepEqual(book.names.sort(), ['first', 'second']);
+    const connections = new PeerConnections({
+      name: 'own',
+      secret: SECRET,
+      onReady: (name) => ready.push(name),
+    });
+    connections.add({ name: 'first', host: HOST, port: first.port });
+    connections.add({ name: 'first', host: HOST, port: 1 });
+    connections.add({ name: 'second', host: HOST, port: second.port });
+    connections.add({ name: 'own', host: HOST, port: 1 });
+    await until(() => connections.ready.length === 2);
+    t.deepEqual(connections.names.sort(), ['first', 'second']);
     t.deepEqual(ready.sort(), ['first', 'second']);
-    t.is(await book.get('second')?.request('asked', {}), 'second asked');
-    book.keepOnly(new Set(['second']));
-    t.is(book.get('first'), undefined);
+    t.is(await connections.get('second')?.request('asked', {}), 'second asked');
+    connections.keepOnly(new Set(['second']));
+    t.is(connections.get('first'), undefined);
     await until(() => first.server.readyLinks.length === 0);
-    book.close();
-    book.add({ name: 'first', host: HOST, port: first.port });
-    t.deepEqual(book.names, []);
+    connections.close();
+    connections.add({ name: 'first', host: HOST, port: first.port });
+    t.deepEqual(connections.names, []);
     await Promise.all([first.server.close(), second.server.close()]);
   });
 
@@ -87,20 +91,25 @@
     async (t) => {
       const { server, port } = await peer('far');
       let nowMs = 0;
-      const book = new PeerBook({ name: 'own', secret: SECRET, lingerMs: 100, nowMs: () => nowMs });
-      book.add({ name: 'far', host: HOST, port });
-      const first = book.get('far');
-      book.keepOnly(new Set());
+      const connections = new PeerConnections({
+        name: 'own',
+        secret: SECRET,
+        lingerMs: 100,
+        nowMs: () => nowMs,
+      });
+      connections.add({ name: 'far', host: HOST, port });
+      const first = connections.get('far');
+      connections.keepOnly(new Set());
       nowMs = 99;
-      book.keepOnly(new Set());
-      t.is(book.get('far'), first);
-      book.keepOnly(new Set(['far']));
+      connections.keepOnly(new Set());
+      t.is(connections.get('far'), first);
+      connections.keepOnly(new Set(['far']));
       nowMs = 150;
-      book.keepOnly(new Set());
-      t.is(book.get('far'), first);
+      connections.keepOnly(new Set());
+      t.is(connections.get('far'), first);
       nowMs = 250;
-      book.keepOnly(new Set());
-      t.is(book.get('far'), undefined);
+      connections.keepOnly(new Set());
+      t.is(connections.get('far'), undefined);
       await server.close();
     },
   );
@@ -109,27 +118,32 @@
     title('does not go on to open a connection that is lost and no longer wanted'),
     async (t) => {
       const { server, port } = await peer('far');
-      const book = new PeerBook({ name: 'own', secret: SECRET, lingerMs: 1e6, firstRetryMs: 1e6 });
-      book.add({ name: 'far', host: HOST, port });
-      await until(() => book.ready.length === 1);
+      const connections = new PeerConnections({
+        name: 'own',
+        secret: SECRET,
+        lingerMs: 1e6,
+        firstRetryMs: 1e6,
+      });
+      connections.add({ name: 'far', host: HOST, port });
+      await until(() => connections.ready.length === 1);
       await server.close();
-      await until(() => book.get('far')?.isDown === true);
-      book.keepOnly(new Set());
-      t.is(book.get('far'), undefined);
-      book.close();
+      await until(() => connections.get('far')?.isDown === true);
+      connections.keepOnly(new Set());
+      t.is(connections.get('far'), undefined);
+      connections.close();
     },
   );
 
   test(title('gives a connection up that has fallen silent without closing'), async (t) => {
     const { server, port } = await peer('far');
     const relay = await relayTo(port);
-    const book = new PeerBook({ name: 'own', secret: SECRET });
-    book.add({ name: 'far', host: HOST, port: relay.port });
-    await until(() => book.ready.length === 1);
+    const connections = new PeerConnections({ name: 'own', secret: SECRET });
+    connections.add({ name: 'far', host: HOST, port: relay.port });
+    await until(() => connections.ready.length === 1);
     relay.silence();
-    await until(() => book.ready.length === 0);
+    await until(() => connections.ready.length === 0);
     t.pass();
-    book.close();
+    connections.close();
     relay.close();
     await server.close();
   });
--- a/packages/transport/src/peer-book.ts
+++ b/packages/transport/src/peer-connections.ts
@@ -12,8 +12,8 @@
   readonly port: number;
 }
 
-/** Options of {@link PeerBook}. */
-export interface PeerBookOptions {
+/** Options of {@link PeerConnections}. */
+export interface PeerConnectionsOptions {
   /** Name of this process. */
   readonly name: string;
   readonly secret: string;
@@ -37,13 +37,13 @@
 }
 
 /** One lasting connection a peer. */
-export class PeerBook {
-  private readonly options: PeerBookOptions;
+export class PeerConnections {
+  private readonly options: PeerConnectionsOptions;
   private readonly clients = new Map<string, PeerClient>();
   private readonly unwantedSinceMs = new Map<string, number>();
   private closed = false;
 
-  constructor(options: PeerBookOptions) {
+  constructor(options: PeerConnectionsOptions) {
     this.options = options;
   }
 
--- a/packages/transport/src/peer-server.test.ts
+++ b/packages/transport/src/peer-server.test.ts
@@ -15,7 +15,7 @@
 import test from 'ava';
 import type { ExecutionContext } from 'ava';
 import { describe, title } from '@shedline/test-utils';
-import { PeerBook } from './peer-book.js';
+import { PeerConnections } from './peer-connections.js';
 import { PeerServer } from './peer-server.js';
 
 const HOST = '127.0.0.1';
@@ -79,11 +79,11 @@
     t.timeout(20_000);
     const { server, port } = await startServer();
     const relay = new HandshakeRelay(port);
-    const book = new PeerBook({ name: 'peer', secret: SECRET });
+    const connections = new PeerConnections({ name: 'peer', secret: SECRET });
     t.teardown(() => {
-      book.close();
+      connections.close();
     });
-    book.add({ name: 'server', host: HOST, port: await relay.listen(t) });
+    connections.add({ name: 'server', host: HOST, port: await relay.listen(t) });
     while (!relay.hasBegun) await new Promise(setImmediate);
     const closing = server.close();
     relay.letGo();
--- a/packages/transport/src/looks.ts
+++ b/packages/transport/src/periodic-checks.ts
@@ -5,21 +5,21 @@
 
 type Look = () => void;
 
-const looks = new Set<Look>();
+const checks = new Set<Look>();
 let timer: NodeJS.Timeout | undefined;
 
 /** Calls `look` at each interval until it is removed. */
-export function addLook(look: Look): void {
-  looks.add(look);
+export function addPeriodicCheck(look: Look): void {
+  checks.add(look);
   timer ??= setInterval(() => {
-    for (const each of looks) each();
+    for (const each of checks) each();
   }, LOOK_INTERVAL_MS);
 }
 
 /** Calls it no more. */
-export function removeLook(look: Look): void {
-  looks.delete(look);
-  if (looks.size > 0) return;
+export function removePeriodicCheck(look: Look): void {
+  checks.delete(look);
+  if (checks.size > 0) return;
   clearInterval(timer);
   timer = undefined;
 }
