--- a/packages/gateway/src/key-check.ts
+++ b/packages/gateway/src/api-key-authenticator.ts
@@ -1,6 +1,6 @@
 /**
- * Lets a caller in by its API key, or says why not. The key itself goes nowhere from here: neither into a log
- * line nor to an endpoint.
+ * Authenticates callers by their API keys. A key is neither written to a log nor sent to an
+ * endpoint.
  */
 import { match } from 'ts-pattern';
 import type { Route, RouteTable, Workspace } from '@shedline/fleet';
@@ -8,41 +8,43 @@
 import type { ProcessMetrics } from '@shedline/metrics';
 
 /**
- * Silence of all control processes beyond which a key that is not known here may be a new one: five looks that
- * brought no answer. News are pushed within milliseconds otherwise.
+ * Time without data from any control process after which an unknown key may be a new one: five
+ * polls without a reply. Normally changes are pushed within milliseconds.
  */
-const MAY_BE_BEHIND_MS = 1500;
-/** When a caller should come back, elsewhere, whose key this entry cannot judge. */
-const BEHIND_RETRY_MS = 300;
+const MAX_CONTROL_SILENCE_MS = 1500;
+/** Retry delay for callers with a possibly new key; they should try another entry. */
+const STALE_RETRY_MS = 300;
 
-/** What a caller that may not come in is told. */
+/** Response to a caller that is not authenticated. */
 export interface KeyRefusal {
   readonly status: 401 | 503;
   readonly retryAfterMs?: number;
 }
 
-/** The workspace of a caller that may come in, undefined where no key is asked for; or a refusal. */
+/**
+ * Workspace of an authenticated caller (undefined if the route requires no API key), or a refusal.
+ */
 export type KeyVerdict =
   | { readonly isIn: true; readonly workspace: Workspace | undefined }
   | { readonly isIn: false; readonly refusal: KeyRefusal };
 
-/** Options of {@link KeyCheck}. */
-export interface KeyCheckOptions {
-  /** Time since a control process was last heard. */
+/** Options of {@link ApiKeyAuthenticator}. */
+export interface ApiKeyAuthenticatorOptions {
+  /** Time since the last reply of a control process. */
   readonly silentMs: () => number;
   readonly metrics: ProcessMetrics;
   readonly logger: Logger;
 }
 
-/** Checks keys against the configuration in force. */
-export class KeyCheck {
-  private readonly options: KeyCheckOptions;
+/** Checks API keys against the current configuration. */
+export class ApiKeyAuthenticator {
+  private readonly options: ApiKeyAuthenticatorOptions;
 
-  constructor(options: KeyCheckOptions) {
+  constructor(options: ApiKeyAuthenticatorOptions) {
     this.options = options;
   }
 
-  /** Judges the key that a request shows for a route. */
+  /** Checks the API key of a request for a route. */
   check(
     routes: RouteTable,
     route: Route,
@@ -66,11 +68,11 @@
   }): KeyRefusal {
     const { reason, requestId: request, route, version } = refused;
     const silentMs = Math.round(this.options.silentMs());
-    const mayBeNew = reason === 'unknown key' && silentMs > MAY_BE_BEHIND_MS;
+    const mayBeNew = reason === 'unknown key' && silentMs > MAX_CONTROL_SILENCE_MS;
     const outcome = mayBeNew ? 503 : 401;
     const fields = { step: 'key', request, route, version, newsAgeMs: silentMs, outcome, reason };
     this.options.logger.info('request refused', fields);
     this.options.metrics.count('shedline_refused_keys_total', { reason });
-    return mayBeNew ? { status: 503, retryAfterMs: BEHIND_RETRY_MS } : { status: 401 };
+    return mayBeNew ? { status: 503, retryAfterMs: STALE_RETRY_MS } : { status: 401 };
   }
 }
--- a/packages/gateway/src/caller-addresses.test.ts
+++ b/packages/gateway/src/caller-addresses.test.ts
@@ -20,20 +20,23 @@
 }
 
 describe('addresses for a caller', () => {
-  test(title('are those of its zone while two of that serve, of all zones otherwise'), (t) => {
+  test(title('are in its zone if two entries serve there, in all zones otherwise'), (t) => {
     const far = [entry(3, { availabilityZone: 'far' }), entry(4, { availabilityZone: 'far' })];
     const both = [entry(1), entry(2), ...far];
     t.deepEqual(callerAddresses(both, 'near'), ['10.0.0.1:80', '10.0.0.2:80']);
-    const one = [entry(1), entry(2, { state: 'draining' }), ...far];
-    t.is(callerAddresses(one, 'near').length, 3);
+    const oneReady = [entry(1), entry(2, { state: 'draining' }), ...far];
+    t.is(callerAddresses(oneReady, 'near').length, 3);
     t.is(callerAddresses(both, 'elsewhere').length, 4);
   });
 
-  test(title('name no entry that starts, drains or takes no callers, and at most 64'), (t) => {
-    const { callerAddress, ...closed } = entry(1);
-    t.is(callerAddress, '10.0.0.1:80');
-    t.deepEqual(callerAddresses([closed, entry(2, { state: 'starting' })], 'near'), []);
-    const many = Array.from({ length: 100 }, (_, index) => entry(index));
-    t.is(callerAddresses(many, 'near').length, 64);
-  });
+  test(
+    title('omit starting and draining entries and those without a caller address; at most 64'),
+    (t) => {
+      const { callerAddress, ...unaddressed } = entry(1);
+      t.is(callerAddress, '10.0.0.1:80');
+      t.deepEqual(callerAddresses([unaddressed, entry(2, { state: 'starting' })], 'near'), []);
+      const many = Array.from({ length: 100 }, (_, index) => entry(index));
+      t.is(callerAddresses(many, 'near').length, 64);
+    },
+  );
 });
--- a/packages/gateway/src/caller-addresses.ts
+++ b/packages/gateway/src/caller-addresses.ts
@@ -1,21 +1,26 @@
 /**
- * Which entries a caller is sent to.
+ * Selects the entries whose addresses are returned to a caller.
  */
 import type { MemberRecord } from '@shedline/mesh';
 
-/** Most addresses in one answer; callers take no more. */
+/** Maximum number of addresses in one response; callers accept no more. */
 const MAX_ADDRESSES = 64;
-/** Entries in the caller's zone from which the answer leaves the other zones out: one may be down. */
-const ENOUGH_IN_ZONE = 2;
+/**
+ * Minimum number of entries in the caller's zone to omit the other zones: one of them may be down.
+ */
+const MIN_IN_ZONE = 2;
 
-/** Addresses for a caller: entries of its own zone where that has enough, those of all zones otherwise. */
+/**
+ * Returns the addresses of the entries in the caller's zone, or in all zones if its zone has too
+ * few.
+ */
 export function callerAddresses(
   entries: readonly MemberRecord[],
   availabilityZone: string,
 ): string[] {
   const ready = entries.filter((entry) => entry.state === 'ready');
   const serving = ready.filter(({ callerAddress }) => callerAddress !== undefined);
-  const near = serving.filter((entry) => entry.availabilityZone === availabilityZone);
-  const chosen = near.length >= ENOUGH_IN_ZONE ? near : serving;
+  const inZone = serving.filter((entry) => entry.availabilityZone === availabilityZone);
+  const chosen = inZone.length >= MIN_IN_ZONE ? inZone : serving;
   return chosen.flatMap(({ callerAddress }) => callerAddress ?? []).slice(0, MAX_ADDRESSES);
 }
--- a/packages/gateway/src/crash-guard.test.ts
+++ b/packages/gateway/src/crash-guard.test.ts
@@ -14,7 +14,7 @@
 /** Longer than the pause between two attempts of a report. */
 const SOME_ATTEMPTS_MS = 300;
 
-/** A fleet group of one, which can be out of reach. */
+/** A fleet group with one member, which can be unreachable. */
 class FakeFleet implements GroupCaller {
   readonly state = new FleetState();
   isReachable = true;
@@ -27,7 +27,7 @@
   }
 }
 
-/** One entry; all of its endpoints that broke off have ended. */
+/** An entry for which each broken response counts as a crash of the endpoint. */
 class Entry {
   nowMs = 0;
   readonly guard: CrashGuard;
@@ -37,8 +37,8 @@
     const logger = createLogger({ level: 'silent' });
     const nowMs = (): number => this.nowMs;
     this.guard = new CrashGuard({
-      endWatch: {
-        whenEnded: (_endpointId, _address, then) => {
+      crashDetector: {
+        whenCrashed: (_endpointId, _address, then) => {
           then();
           return Promise.resolve();
         },
@@ -52,47 +52,52 @@
   follow({ state }: FakeFleet): void {
     const { crashes, position } = state.deltaSince(this.position);
     this.position = position;
-    if (crashes !== undefined) this.guard.take(crashes, 'control');
+    if (crashes !== undefined) this.guard.applyChanges(crashes, 'control');
   }
 
-  /** Runs a content under which its endpoint ends. */
+  /** Simulates a crash of an endpoint while it processes a content. */
   crash(contentKey: string, hasBegun = false): void {
-    this.guard.brokeOff(sendOf(contentKey, this.guard.crashesOf(contentKey), hasBegun));
+    this.guard.brokeOff(brokenSend(contentKey, this.guard.crashesOf(contentKey), hasBegun));
   }
 }
 
-function sendOf(contentKey: string, knownCrashes: number, hasBegun: boolean): BrokenSend {
+function brokenSend(contentKey: string, knownCrashes: number, hasBegun: boolean): BrokenSend {
   return { endpointId: 'e', address: 'a:1', requestId: 'r', contentKey, knownCrashes, hasBegun };
 }
 
-async function until(what: () => boolean): Promise<void> {
-  while (!what()) await pause(5);
+async function until(condition: () => boolean): Promise<void> {
+  while (!condition()) await pause(5);
 }
 
 describe('CrashGuard', () => {
-  test(title('entries hold back together what ended an endpoint at each of two'), async (t) => {
-    const fleet = new FakeFleet();
-    const [first, second, third] = [new Entry(fleet), new Entry(fleet), new Entry(fleet)];
-    t.true(first.guard.isIdle);
-    first.crash('bad');
-    await until(() => fleet.commands === 1);
-    for (const entry of [first, second, third]) entry.follow(fleet);
-    t.deepEqual(await second.guard.admit('bad'), { isAdmitted: true });
-    second.crash('bad');
-    await until(() => fleet.commands === 2);
-    third.follow(fleet);
-    t.deepEqual(await third.guard.admit('bad'), { isAdmitted: false, retryAfterMs: 60_000 });
-    t.is(third.guard.heldMs('bad'), 60_000);
-    t.deepEqual(await third.guard.admit('other'), { isAdmitted: true });
-    t.is(third.guard.heldCount, 1);
-
-    const newcomer = new Entry(fleet);
-    newcomer.follow(fleet);
-    t.is(newcomer.guard.heldMs('bad'), 60_000, 'an entry that has just started');
-  });
+  test(
+    title('all entries quarantine content that crashed one endpoint at each of two entries'),
+    async (t) => {
+      const fleet = new FakeFleet();
+      const [first, second, third] = [new Entry(fleet), new Entry(fleet), new Entry(fleet)];
+      t.true(first.guard.isIdle);
+      first.crash('bad');
+      await until(() => fleet.commands === 1);
+      for (const entry of [first, second, third]) entry.follow(fleet);
+      t.deepEqual(await second.guard.admit('bad'), { isAdmitted: true });
+      second.crash('bad');
+      await until(() => fleet.commands === 2);
+      third.follow(fleet);
+      t.deepEqual(await third.guard.admit('bad'), { isAdmitted: false, retryAfterMs: 60_000 });
+      t.is(third.guard.heldMs('bad'), 60_000);
+      t.deepEqual(await third.guard.admit('other'), { isAdmitted: true });
+      t.is(third.guard.heldCount, 1);
+
+      const restarted = new Entry(fleet);
+      restarted.follow(fleet);
+      t.is(restarted.guard.heldMs('bad'), 60_000, 'an entry that has just started');
+    },
+  );
 
   test(
-    title('one entry is let try it when its time is over, and a good run clears it'),
+    title(
+      'after the quarantine one entry runs a trial request, whose success releases the content',
+    ),
     async (t) => {
       const fleet = new FakeFleet();
       const entries = [new Entry(fleet), new Entry(fleet)];
@@ -102,7 +107,7 @@
       for (const entry of entries) {
         entry.follow(fleet);
         entry.nowMs += 60_000;
-        t.true(entry.guard.heldMs('bad') > 0, 'nobody has been let try it yet');
+        t.true(entry.guard.heldMs('bad') > 0, 'no trial request was permitted yet');
       }
       const admissions = await Promise.all(entries.map(({ guard }) => guard.admit('bad')));
       t.is(admissions.filter(({ isAdmitted }) => isAdmitted).length, 1);
@@ -116,11 +121,11 @@
   );
 
   test(
-    title('what many ask is cleared by its good runs, beside one that is held back'),
+    title('successful runs clear popular content while other content stays quarantined'),
     async (t) => {
       const fleet = new FakeFleet();
       const entry = new Entry(fleet);
-      for (let end = 0; end < 2; end += 1) {
+      for (let crash = 0; crash < 2; crash += 1) {
         entry.crash('bad');
         entry.crash('popular');
         entry.guard.survived('popular');
@@ -133,20 +138,20 @@
   );
 
   /*
-   * What users saw: what many asked was refused for a minute at every entry. In order: one stream of it
-   * lay beside a content that ends endpoints; both went on at the same second endpoint, which
-   * ended as well; both contents were held back. Cause: two ends counted alike, though the one
-   * had been giving events at both and the other at neither, as the logs of both sends tell.
+   * Guards against the quarantine of popular content, refused for a minute at every entry, because
+   * one of its streams ran beside content that crashes endpoints and was resumed with it at a
+   * second endpoint. A crash must count less if the response had begun: the popular stream had
+   * delivered events at both endpoints, the crashing content at neither.
    */
   test(
-    title('what was being answered beside it at both of its ends goes on to be served'),
+    title('serves content whose response had begun at both crashes of another content'),
     async (t) => {
       const fleet = new FakeFleet();
       const entries = [new Entry(fleet), new Entry(fleet)] as const;
-      for (let end = 1; end <= 2; end += 1) {
+      for (let crash = 1; crash <= 2; crash += 1) {
         entries[0].crash('bad');
         entries[1].crash('popular', true);
-        await until(() => fleet.commands === 2 * end);
+        await until(() => fleet.commands === 2 * crash);
         for (const entry of entries) entry.follow(fleet);
       }
       for (const { guard } of entries) {
@@ -157,7 +162,7 @@
   );
 
   test(
-    title('an entry without a leader holds back what it saw itself, and reports it later'),
+    title('without a leader an entry quarantines what it observed itself, and reports it later'),
     async (t) => {
       const fleet = new FakeFleet();
       fleet.isReachable = false;
@@ -166,7 +171,7 @@
       entry.crash('bad');
       t.false((await entry.guard.admit('bad')).isAdmitted);
       entry.nowMs += 60_000;
-      t.false((await entry.guard.admit('bad')).isAdmitted, 'nobody lets it try');
+      t.false((await entry.guard.admit('bad')).isAdmitted, 'no leader permits a trial request');
       fleet.isReachable = true;
       entry.nowMs -= 60_000;
       await until(() => fleet.commands > 0);
@@ -177,7 +182,7 @@
     },
   );
 
-  test(title('a report without a leader is tried no more once it is closed'), async (t) => {
+  test(title('stops retrying a report when the reporter is closed'), async (t) => {
     let attempts = 0;
     const fleet: GroupCaller = {
       call: () => {
@@ -190,8 +195,8 @@
     reporter.reportSurvival('content');
     await until(() => attempts > 1);
     reporter.close();
-    const before = attempts;
+    const attemptsAtClose = attempts;
     await pause(SOME_ATTEMPTS_MS);
-    t.is(attempts, before);
+    t.is(attempts, attemptsAtClose);
   });
 });
--- a/packages/gateway/src/crash-guard.ts
+++ b/packages/gateway/src/crash-guard.ts
@@ -1,25 +1,28 @@
 /**
- * Holds back what ends the endpoints that run it, at this entry and, through the fleet's record, at all.
+ * Quarantines request content that crashes endpoints: at this entry at once, and at all entries
+ * through the fleet's record of crashes.
  */
 import type { Admission, BrokenSend, ContentGuard } from '@shedline/forwarding';
 import type { Logger } from '@shedline/logger';
 import { KnownCrashes } from '@shedline/quarantine';
 import type { CrashChanges } from '@shedline/quarantine';
 import type { CrashReporter } from './crash-reporter.js';
-import type { EndWatch } from './end-watch.js';
+import type { CrashDetector } from './crash-detector.js';
 
-/** When to ask again while somebody else tries the content, or nobody could let this entry try it. */
-const TRIAL_UNDER_WAY_MS = 1000;
+/**
+ * Retry delay while another entry runs the trial request, or no leader could permit this one to.
+ */
+const TRIAL_RETRY_MS = 1000;
 
 /** Options of {@link CrashGuard}. */
 export interface CrashGuardOptions {
-  readonly endWatch: Pick<EndWatch, 'whenEnded'>;
+  readonly crashDetector: Pick<CrashDetector, 'whenCrashed'>;
   readonly reporter: Pick<CrashReporter, 'reportCrash' | 'reportSurvival' | 'beginTrial'>;
   readonly logger: Logger;
   readonly nowMs: () => number;
 }
 
-/** {@link ContentGuard} of one entry. */
+/** {@link ContentGuard} of an entry. */
 export class CrashGuard implements ContentGuard {
   private readonly options: CrashGuardOptions;
   private readonly known: KnownCrashes;
@@ -33,7 +36,7 @@
     return this.known.isEmpty;
   }
 
-  /** Contents that are held back now. */
+  /** Number of contents that are quarantined. */
   get heldCount(): number {
     return this.known.heldCount;
   }
@@ -42,21 +45,21 @@
     const status = this.known.status(contentKey);
     if (status.kind === 'free') return { isAdmitted: true };
     if (status.kind === 'held') return { isAdmitted: false, retryAfterMs: status.forMs };
-    const isLet = await this.options.reporter.beginTrial(contentKey, status.trials);
+    const isPermitted = await this.options.reporter.beginTrial(contentKey, status.trials);
     const { logger } = this.options;
-    logger.info('trial of a content that is held back', {
+    logger.info('trial request for quarantined content', {
       step: 'hold',
       content: contentKey,
       trials: status.trials,
-      outcome: isLet ? 'let' : 'not let',
+      outcome: isPermitted ? 'let' : 'not let',
     });
-    return isLet ? { isAdmitted: true } : { isAdmitted: false, retryAfterMs: TRIAL_UNDER_WAY_MS };
+    return isPermitted ? { isAdmitted: true } : { isAdmitted: false, retryAfterMs: TRIAL_RETRY_MS };
   }
 
   heldMs(contentKey: string): number {
     const status = this.known.status(contentKey);
     if (status.kind === 'free') return 0;
-    return status.kind === 'held' ? status.forMs : TRIAL_UNDER_WAY_MS;
+    return status.kind === 'held' ? status.forMs : TRIAL_RETRY_MS;
   }
 
   crashesOf(contentKey: string): number {
@@ -64,22 +67,26 @@
   }
 
   brokeOff(send: BrokenSend): void {
-    void this.options.endWatch.whenEnded(send.endpointId, send.address, () => {
-      this.blame(send);
+    void this.options.crashDetector.whenCrashed(send.endpointId, send.address, () => {
+      this.recordCrash(send);
     });
   }
 
   survived(contentKey: string): void {
     const crashes = this.known.crashesOf(contentKey);
     if (!this.known.survived(contentKey)) return;
-    this.options.logger.info('content is cleared', { step: 'hold', content: contentKey, crashes });
+    this.options.logger.info('content released from quarantine', {
+      step: 'hold',
+      content: contentKey,
+      crashes,
+    });
     this.options.reporter.reportSurvival(contentKey);
   }
 
-  /** Takes news of the fleet's record. */
-  take(changes: CrashChanges, from: string): void {
+  /** Applies changes of the fleet's record of crashes. */
+  applyChanges(changes: CrashChanges, from: string): void {
     for (const content of this.known.take(changes)) {
-      this.options.logger.info('content is held back', {
+      this.options.logger.info('content quarantined', {
         step: 'hold',
         content,
         crashes: this.known.crashesOf(content),
@@ -89,11 +96,11 @@
     }
   }
 
-  private blame(send: BrokenSend): void {
+  private recordCrash(send: BrokenSend): void {
     const { contentKey, knownCrashes, hasBegun, requestId, endpointId } = send;
     this.known.crashed(contentKey, { knownCrashes, hasBegun });
     this.options.reporter.reportCrash({ contentKey, knownCrashes, hasBegun });
-    this.options.logger.info('endpoint ended under a content', {
+    this.options.logger.info('endpoint crashed while processing content', {
       step: 'hold',
       request: requestId,
       endpoint: endpointId,
--- a/packages/gateway/src/endpoint-pool.test.ts
+++ b/packages/gateway/src/endpoint-pool.test.ts
@@ -7,40 +7,40 @@
 const HEARTBEAT_MS = 1200;
 const SERVICE = 's';
 const SLOTS = 8;
-/** Requests beyond its slots that an endpoint in reach is given. */
+/** Requests that may queue at an endpoint of the subset beyond its slots. */
 const QUEUED = 2;
-/** Entries that use an endpoint. */
+/** Entries with an endpoint in their subset. */
 const USERS = 4;
 const NONE: ReadonlySet<string> = new Set();
-const IN_SUBSET: ReadonlySet<string> = new Set(['a', 'gone']);
+const IN_SUBSET: ReadonlySet<string> = new Set(['a', 'stopped']);
 const FIRST_RUN = runIdOf({ endpointId: 'a', startedAtMs: 1000 });
 const FIRST_OF_A = runIdOf({ endpointId: 'a', startedAtMs: 0 });
 const SECOND_RUN = runIdOf({ endpointId: 'a', startedAtMs: 2000 });
 
-function heardOf(
-  heard: Pick<EndpointHeartbeat, 'endpointId' | 'sequence'> & Partial<EndpointHeartbeat>,
+function heartbeatOf(
+  fields: Pick<EndpointHeartbeat, 'endpointId' | 'sequence'> & Partial<EndpointHeartbeat>,
 ): AgedHeartbeat {
   const heartbeat = {
     startedAtMs: 0,
     service: SERVICE,
-    address: `${heard.endpointId}:1`,
+    address: `${fields.endpointId}:1`,
     availabilityZone: 'z',
     slots: SLOTS,
     warmUpLeftMs: 0,
-    ...heard,
+    ...fields,
   };
   return { ageMs: 0, heartbeat };
 }
 
-/** A pool on a clock that the test moves. */
+/** A pool with a clock that the test advances. */
 class Setup {
   nowMs = 10_000;
   readonly pool: EndpointPool;
-  readonly silences: string[] = [];
-  readonly gone: string[] = [];
+  readonly timeouts: string[] = [];
+  readonly replaced: string[] = [];
   private sequence = 0;
 
-  /** An entry that has run for a while, or has just started. */
+  /** Creates the pool of an entry that has been running for a while, or has just started. */
   constructor(random = () => 0, { hasJustStarted = false } = {}) {
     this.pool = new EndpointPool({
       availabilityZone: 'z',
@@ -53,45 +53,47 @@
       entryCount: () => 1,
       onLoadChange: () => undefined,
       onSlotWanted: () => undefined,
-      onRunGone: (_endpointId, address) => this.gone.push(address),
-      onSilence: (moment) => this.silences.push(moment),
+      onRunReplaced: (_endpointId, address) => this.replaced.push(address),
+      onSilence: (moment) => this.timeouts.push(moment),
     });
     if (!hasJustStarted) this.nowMs += 2000;
   }
 
-  /** News of a control process that heard these endpoints just now. */
-  hear(...endpointIds: string[]): void {
+  /** Delivers new heartbeats of these endpoints through a control process. */
+  observe(...endpointIds: string[]): void {
     this.sequence += 1;
     const { sequence } = this;
-    this.pool.hear(endpointIds.map((endpointId) => heardOf({ endpointId, sequence })));
+    this.pool.observeHeartbeats(
+      endpointIds.map((endpointId) => heartbeatOf({ endpointId, sequence })),
+    );
   }
 
-  /** News of one run of an endpoint. */
-  hearRun(endpointId: string, startedAtMs: number, sequence: number): void {
-    this.pool.hear([heardOf({ endpointId, startedAtMs, sequence })]);
+  /** Delivers a heartbeat of one incarnation of an endpoint. */
+  observeRun(endpointId: string, startedAtMs: number, sequence: number): void {
+    this.pool.observeHeartbeats([heartbeatOf({ endpointId, startedAtMs, sequence })]);
   }
 
-  /** Time passes in which control processes are heard, but none of the endpoints. */
-  passWithNews(forMs: number): void {
+  /** Advances the clock while control processes reply without heartbeats of endpoints. */
+  advanceWithReplies(forMs: number): void {
     for (let passedMs = 0; passedMs < forMs; passedMs += 100) {
       this.nowMs += 100;
-      this.hear();
+      this.observe();
     }
   }
 
-  knows(endpointId: string): boolean {
+  isUsable(endpointId: string): boolean {
     return this.pool.isUsable(endpointId);
   }
 
-  hasRoom(): boolean {
+  hasUsableEndpoint(): boolean {
     return this.pool.choose(SERVICE, NONE) !== undefined;
   }
 }
 
 describe('choice of an endpoint', () => {
-  test(title('those in reach come first, the others where their short queues are full'), (t) => {
+  test(title('prefers the subset, and uses other endpoints if its short queues are full'), (t) => {
     const setup = new Setup();
-    setup.hear('a', 'b');
+    setup.observe('a', 'b');
     const chosen: (string | undefined)[] = [];
     for (let send = 0; send <= SLOTS + QUEUED; send += 1) {
       const endpoint = setup.pool.choose(SERVICE, NONE);
@@ -107,20 +109,20 @@
   });
 });
 
-describe('endpoints beyond reach', () => {
+describe('endpoints outside the subset', () => {
   /**
-   * In peaks a quarter of the requests of a zone were sent to endpoints that were full, though others had room:
-   * entries know nothing of the load beyond their reach, took it for none, and stayed in their zone. The evidence:
-   * requests with a load of 0 in the log that waited half a second at the endpoint.
+   * Entries do not know the load of endpoints outside their subset. When they assumed none and
+   * preferred their own zone, a quarter of the zone's requests in peaks were sent to full endpoints
+   * and waited half a second there, though endpoints in other zones had free slots.
    */
-  test(title('are taken alike, in whatever zone'), (t) => {
+  test(title('are chosen uniformly in all zones'), (t) => {
     const random = seededRandom(8);
     const setup = new Setup(random);
-    setup.hear('a');
-    const far = Array.from({ length: 10 }, (_, number) => `far-${number}`);
-    for (const [index, endpointId] of far.entries()) {
+    setup.observe('a');
+    const outside = Array.from({ length: 10 }, (_, number) => `outside-${number}`);
+    for (const [index, endpointId] of outside.entries()) {
       const availabilityZone = index === 0 ? 'z' : 'other';
-      setup.pool.hear([heardOf({ endpointId, sequence: 1, availabilityZone })]);
+      setup.pool.observeHeartbeats([heartbeatOf({ endpointId, sequence: 1, availabilityZone })]);
     }
     for (let send = 0; send < SLOTS + QUEUED; send += 1) setup.pool.began('a');
     const chosen = new Map<string, number>();
@@ -128,153 +130,162 @@
       const endpointId = setup.pool.choose(SERVICE, NONE)?.endpointId ?? 'none';
       chosen.set(endpointId, (chosen.get(endpointId) ?? 0) + 1);
     }
-    t.deepEqual([...chosen.keys()].sort(), far);
-    t.true(Math.max(...chosen.values()) < 150, 'no herd');
+    t.deepEqual([...chosen.keys()].sort(), outside);
+    t.true(Math.max(...chosen.values()) < 150, 'no endpoint is preferred');
   });
 });
 
 describe('leases of endpoints', () => {
-  test(title('an endpoint that is not heard for its lease takes nothing'), (t) => {
+  test(title('an endpoint without a heartbeat for its lease is not used'), (t) => {
     const setup = new Setup();
-    setup.hear('a');
-    setup.passWithNews(3 * HEARTBEAT_MS - 200);
-    t.true(setup.knows('a'));
-    setup.passWithNews(400);
-    t.false(setup.knows('a'));
+    setup.observe('a');
+    setup.advanceWithReplies(3 * HEARTBEAT_MS - 200);
+    t.true(setup.isUsable('a'));
+    setup.advanceWithReplies(400);
+    t.false(setup.isUsable('a'));
   });
 
   /**
-   * Callers were refused by every entry for seconds, with all endpoints idle. All connections to
-   * control processes had gone silent, so no heartbeat came, and the leases of all endpoints ran out at
-   * once before the connections were opened anew. The evidence: requests refused after they had waited a
-   * heartbeat interval, with no send, from a second after the silence until the entries logged
-   * that they were connected again.
+   * If all connections to control processes are unresponsive, no heartbeat arrives. The leases of
+   * all endpoints must not expire together until the connections are reopened: entries would refuse
+   * all requests for seconds while the endpoints are idle.
    */
-  test(title('an entry that hears no control process keeps the endpoints that it knew'), (t) => {
+  test(title('an entry without contact to any control process keeps using its endpoints'), (t) => {
     const setup = new Setup();
-    setup.hear('a', 'b');
+    setup.observe('a', 'b');
     setup.nowMs += 4 * HEARTBEAT_MS;
-    t.true(setup.hasRoom());
-    // The first news after it may not tell of all of them yet.
-    setup.hear('a');
-    t.true(setup.knows('a'));
-    t.true(setup.knows('b'));
-    setup.passWithNews(3 * HEARTBEAT_MS);
-    t.false(setup.knows('b'));
+    t.true(setup.hasUsableEndpoint());
+    // The first reply after that may not include all endpoints yet.
+    setup.observe('a');
+    t.true(setup.isUsable('a'));
+    t.true(setup.isUsable('b'));
+    setup.advanceWithReplies(3 * HEARTBEAT_MS);
+    t.false(setup.isUsable('b'));
   });
 
-  test(title('an earlier run whose heartbeat came late is sent one request, not all'), (t) => {
-    const setup = new Setup();
-    setup.hear('gone', 'b', 'c', 'd');
-    t.true(setup.knows('gone'));
-    setup.pool.began('gone');
-    const outcome = { kind: 'refused', status: 421 } as const;
-    setup.pool.ended('gone', { kind: 'ended', outcome }, undefined);
-    t.false(setup.knows('gone'));
-    t.true(setup.hasRoom());
-  });
+  test(
+    title('a stopped endpoint announced by a delayed heartbeat receives one request only'),
+    (t) => {
+      const setup = new Setup();
+      setup.observe('stopped', 'b', 'c', 'd');
+      t.true(setup.isUsable('stopped'));
+      setup.pool.began('stopped');
+      const outcome = { kind: 'refused', status: 421 } as const;
+      setup.pool.ended('stopped', { kind: 'ended', outcome }, undefined);
+      t.false(setup.isUsable('stopped'));
+      t.true(setup.hasUsableEndpoint());
+    },
+  );
 
-  test(title('endpoints whose ports are closed take nothing until they are heard again'), (t) => {
+  test(title('endpoints with closed ports are not used until their next heartbeat'), (t) => {
     const setup = new Setup();
-    setup.hear('a', 'b', 'c');
+    setup.observe('a', 'b', 'c');
     for (const endpointId of ['a', 'b']) {
       setup.pool.began(endpointId);
       const outcome = { kind: 'notSent', reason: 'ECONNREFUSED' } as const;
       setup.pool.ended(endpointId, { kind: 'ended', outcome }, undefined);
     }
-    setup.pool.markEnded('c');
-    for (const endpointId of ['a', 'b', 'c']) t.false(setup.knows(endpointId), 'also all of them');
-    setup.passWithNews(1000);
-    const late = heardOf({ endpointId: 'a', sequence: 2 });
-    setup.pool.hear([{ ...late, ageMs: 1100 }]);
-    t.false(setup.knows('a'), 'a heartbeat from before its end');
-    setup.hear('a');
-    setup.hear('a');
-    t.true(setup.knows('a'));
-    t.false(setup.knows('b'));
+    setup.pool.markDown('c');
+    for (const endpointId of ['a', 'b', 'c'])
+      t.false(setup.isUsable(endpointId), 'even if all are down');
+    setup.advanceWithReplies(1000);
+    const delayed = heartbeatOf({ endpointId: 'a', sequence: 2 });
+    setup.pool.observeHeartbeats([{ ...delayed, ageMs: 1100 }]);
+    t.false(setup.isUsable('a'), 'the heartbeat was sent before the port was closed');
+    setup.observe('a');
+    setup.observe('a');
+    t.true(setup.isUsable('a'));
+    t.false(setup.isUsable('b'));
   });
 
-  test(title('silence after an answer has begun does not count against its endpoint'), (t) => {
+  test(title('a timeout after a response has begun does not count against its endpoint'), (t) => {
     const setup = new Setup();
-    setup.hear('a', 'b', 'c');
-    const silent = (kind: 'brokeOff' | 'lost'): void => {
+    setup.observe('a', 'b', 'c');
+    const timeOut = (kind: 'brokeOff' | 'lost'): void => {
       setup.pool.began('a');
       const outcome = { kind, reason: 'silent', isSilence: true } as const;
       setup.pool.ended('a', { kind: 'ended', outcome }, undefined);
     };
-    for (let send = 0; send < 5; send += 1) silent('brokeOff');
-    t.true(setup.knows('a'));
-    for (let send = 0; send < 2; send += 1) silent('lost');
-    t.false(setup.knows('a'));
-    t.is(setup.silences.filter((moment) => moment === 'begun').length, 5);
+    for (let send = 0; send < 5; send += 1) timeOut('brokeOff');
+    t.true(setup.isUsable('a'));
+    for (let send = 0; send < 2; send += 1) timeOut('lost');
+    t.false(setup.isUsable('a'));
+    t.is(setup.timeouts.filter((moment) => moment === 'begun').length, 5);
   });
 
-  test(title('leases run out in the end where nothing is heard of anyone'), (t) => {
+  test(title('leases expire if no control process replies for a long time'), (t) => {
     const setup = new Setup();
-    setup.hear('a');
+    setup.observe('a');
     setup.nowMs += 60_000;
-    t.false(setup.hasRoom());
+    t.false(setup.hasUsableEndpoint());
   });
 });
 
-describe('an endpoint that starts again under its id', () => {
-  test(title('takes work at once, with nothing under way'), (t) => {
+describe('an endpoint that restarts with the same id', () => {
+  test(title('takes work at once, with a load of zero'), (t) => {
     const setup = new Setup();
-    setup.hearRun('a', 1000, 40);
+    setup.observeRun('a', 1000, 40);
     for (let send = 0; send < SLOTS; send += 1) setup.pool.began(FIRST_RUN);
-    setup.pool.hearLoads('peer', [{ endpointId: FIRST_RUN, online: 2, batch: 0 }]);
-    setup.hearRun('a', 2000, 1);
-    t.false(setup.knows(FIRST_RUN));
+    setup.pool.observePeerLoads('peer', [{ endpointId: FIRST_RUN, online: 2, batch: 0 }]);
+    setup.observeRun('a', 2000, 1);
+    t.false(setup.isUsable(FIRST_RUN));
     t.like(setup.pool.choose(SERVICE, NONE), { endpointId: SECOND_RUN, load: 0 });
-    t.deepEqual(setup.gone, ['a:1']);
-    // What was under way at the run before ends without a trace.
+    t.deepEqual(setup.replaced, ['a:1']);
+    // The outcomes of requests to the previous incarnation have no effect.
     setup.pool.ended(FIRST_RUN, { kind: 'stopped' }, undefined);
     t.deepEqual(setup.pool.ownLoads(), []);
   });
 
-  test(title('is not ejected for what the run before did'), (t) => {
+  test(title('is not ejected for failures of the previous incarnation'), (t) => {
     const setup = new Setup();
-    setup.hear('b', 'c', 'd');
-    setup.hearRun('a', 1000, 1);
+    setup.observe('b', 'c', 'd');
+    setup.observeRun('a', 1000, 1);
     const outcome = { kind: 'notSent', reason: 'refused' } as const;
     setup.pool.began(FIRST_RUN);
     setup.pool.ended(FIRST_RUN, { kind: 'ended', outcome }, undefined);
-    t.false(setup.knows(FIRST_RUN));
-    setup.hearRun('a', 2000, 1);
-    t.true(setup.knows(SECOND_RUN));
+    t.false(setup.isUsable(FIRST_RUN));
+    setup.observeRun('a', 2000, 1);
+    t.true(setup.isUsable(SECOND_RUN));
   });
 
-  test(title('a late heartbeat of the run before brings that run not back'), (t) => {
+  test(title('a delayed heartbeat of the previous incarnation is ignored'), (t) => {
     const setup = new Setup();
-    setup.hearRun('a', 2000, 1);
-    setup.hearRun('a', 1000, 50);
-    t.false(setup.knows(FIRST_RUN));
-    t.true(setup.knows(SECOND_RUN));
-    t.deepEqual(setup.gone, []);
+    setup.observeRun('a', 2000, 1);
+    setup.observeRun('a', 1000, 50);
+    t.false(setup.isUsable(FIRST_RUN));
+    t.true(setup.isUsable(SECOND_RUN));
+    t.deepEqual(setup.replaced, []);
   });
 
-  test(title('a run that leaves takes nothing, the next one does'), (t) => {
+  test(title('an incarnation that leaves is not used, but the next one is'), (t) => {
     const setup = new Setup();
-    setup.hearRun('a', 1000, 1);
+    setup.observeRun('a', 1000, 1);
     setup.pool.markLeaving([FIRST_RUN]);
-    t.false(setup.knows(FIRST_RUN));
-    setup.hearRun('a', 2000, 1);
-    t.true(setup.knows(SECOND_RUN));
+    t.false(setup.isUsable(FIRST_RUN));
+    setup.observeRun('a', 2000, 1);
+    t.true(setup.isUsable(SECOND_RUN));
   });
 
-  test(title('an entry that has just started takes the others for as busy as itself'), (t) => {
-    const started = new Setup(undefined, { hasJustStarted: true });
-    started.hear('a');
-    const sendAll = (): number => {
-      let sent = 0;
-      for (; started.pool.choose(SERVICE, NONE) !== undefined && sent < 100; sent += 1) {
-        started.pool.began(FIRST_OF_A);
-      }
-      return sent;
-    };
-    t.is(sendAll(), SLOTS / USERS, 'its share of the slots');
-    started.nowMs += 2000;
-    started.hear('a');
-    t.is(sendAll(), SLOTS + QUEUED - SLOTS / USERS, 'then what it knows');
-  });
+  test(
+    title('an entry that has just started assumes the load of the others to equal its own'),
+    (t) => {
+      const started = new Setup(undefined, { hasJustStarted: true });
+      started.observe('a');
+      const fillSlots = (): number => {
+        let sent = 0;
+        for (; started.pool.choose(SERVICE, NONE) !== undefined && sent < 100; sent += 1) {
+          started.pool.began(FIRST_OF_A);
+        }
+        return sent;
+      };
+      t.is(fillSlots(), SLOTS / USERS, 'its share of the slots');
+      started.nowMs += 2000;
+      started.observe('a');
+      t.is(
+        fillSlots(),
+        SLOTS + QUEUED - SLOTS / USERS,
+        'then all slots and queue positions that are free',
+      );
+    },
+  );
 });
--- a/packages/gateway/src/endpoint-pool.ts
+++ b/packages/gateway/src/endpoint-pool.ts
@@ -1,6 +1,6 @@
 /**
- * The endpoints as one entry sees them: who may take work, and how much is under way there. Each
- * run of an endpoint counts as an endpoint of its own, under the id of the run.
+ * The endpoints known to an entry: which of them may take work, and their load. Each incarnation of
+ * an endpoint is tracked as a separate endpoint, under its run id.
  */
 import type { WaitingCapacity } from '@shedline/admission';
 import { EndpointDirectory, LeaseClock } from '@shedline/directory';
@@ -12,42 +12,45 @@
 import type { SlotCandidate } from '@shedline/routing';
 import type { Announcement, ChoiceTerms } from '@shedline/types';
 
-/** Heartbeats that an endpoint may miss. */
+/** Heartbeat intervals after which the lease of an endpoint expires. */
 const MISSED_HEARTBEATS = 3;
-/** Failures in a row that eject; a connection that cannot be opened counts for as many. */
-const FAILURES_TO_EJECT = 2;
+/** Consecutive failures that eject an endpoint; a failed connection attempt ejects it at once. */
+const FAILURES_BEFORE_EJECTION = 2;
 /**
- * Status of an endpoint that is not the one meant: a heartbeat of an earlier run at its address came
- * late. What is not there any more looks idle, and would be sent every request for a lease of 3.6 s.
+ * Status of an endpoint that is not the intended one, because a delayed heartbeat announced a
+ * previous endpoint at its address. A stopped endpoint looks idle and would attract all requests
+ * for its lease of 3.6 s.
  */
 const MISDIRECTED_STATUS = 421;
-/** Reason of a send where nobody listens. */
-const CLOSED_PORT = 'ECONNREFUSED';
+/** Failure reason of a request to a port on which no process listens. */
+const CONNECTION_REFUSED = 'ECONNREFUSED';
 const FIRST_EJECTION_MS = 800;
 /**
- * Time from its start in which an entry has not heard the load of all others that use its endpoints: after a loss of all
- * processes the connections between entries were up 1.0 s after their start, and each takes half a second to serve.
+ * Time after startup during which the loads reported by other entries are incomplete. After a
+ * restart of all processes the connections between entries were open 1.0 s after startup, and each
+ * entry needs half a second until it serves.
  */
 const LOADS_UNKNOWN_MS = 1500;
 /**
- * Share of the endpoints in reach up to which others are used while these are full. With the others used whenever
- * these were full, an overload queued up at all endpoints alike, whoever could still be on time: see
- * {@link EndpointPool.chooseNear}.
+ * Share of the subset's endpoints that must be usable for requests to stay within the subset. When
+ * entries left the subset as soon as it was full, an overload built up queues at all endpoints and
+ * delayed requests that could have met their target; see {@link EndpointPool.chooseCandidate}.
  */
-const ENOUGH_SHARE = 0.5;
+const MIN_USABLE_SHARE = 0.5;
 /**
- * Silence of all control processes that still counts against the leases of endpoints; they are
- * asked every 300 ms. Without this limit all leases ran out together while connections were silent: every entry
- * refused everything for 1.7 s in a fleet of 4 entries and 5 endpoints.
+ * Maximum time without data from any control process (polled every 300 ms) that counts against
+ * endpoint leases. Without this limit all leases expired together while connections were
+ * unresponsive, and every entry of a fleet of 4 entries and 5 endpoints refused all requests for
+ * 1.7 s.
  */
 const USUAL_CONTROL_SILENCE_MS = 700;
 /**
- * Silence from which on leases run out all the same: three times the usual time that callers keep
- * addresses, after which nobody is sent to an entry that is out of touch.
+ * Time without data from any control process after which leases expire nevertheless: three times
+ * the usual time for which callers cache addresses, after which none uses a disconnected entry.
  */
 const LONGEST_CONTROL_SILENCE_MS = 15_000;
 
-/** Work under way at an endpoint, from one entry. */
+/** Number of requests and batch items that one entry has in progress at an endpoint. */
 export interface LoadCount {
   readonly endpointId: string;
   readonly online: number;
@@ -62,23 +65,28 @@
   readonly random: () => number;
   readonly nowMs: () => number;
   readonly isLeaving: (endpointId: string) => boolean;
-  /** Endpoints that this entry sends to while they have room; looked at before all others. */
+  /** Endpoints in the subset of this entry, which are preferred to all others. */
   readonly inSubset: () => ReadonlySet<string>;
-  /** Entries that send to an endpoint, this one included. */
+  /** Number of entries with an endpoint in their subset, including this one. */
   readonly userCount: (endpointId: string) => number;
-  /** Entries that send to endpoints, this one included. */
+  /** Number of entries that serve, including this one. */
   readonly entryCount: () => number;
-  /** Told when the load of an endpoint changed by this entry's own work. */
+  /** Called when this entry's own load at an endpoint changes. */
   readonly onLoadChange: (endpointId: string) => void;
-  /** Told when an online request goes to an endpoint without a free slot. */
+  /**
+   * Called when an online request is sent to an endpoint whose slots are partly used by batch work.
+   */
   readonly onSlotWanted: (endpointId: string) => void;
-  /** Told when an endpoint has started again: the run before, at `address`, is gone. */
-  readonly onRunGone: (endpointId: string, address: string, goneForMs: number) => void;
-  /** Told when an endpoint or its connection fell silent, after an answer had begun or before. */
+  /** Called when a new incarnation of an endpoint replaces the previous one, at `address`. */
+  readonly onRunReplaced: (endpointId: string, address: string, heartbeatAgeMs: number) => void;
+  /**
+   * Called when an attempt fails without data for its time limit, by whether the response had
+   * begun.
+   */
   readonly onSilence: (moment: 'begun' | 'notBegun') => void;
 }
 
-/** Endpoints with their loads. */
+/** Tracks the endpoints and chooses one for each request. */
 export class EndpointPool implements EndpointChooser {
   private readonly options: EndpointPoolOptions;
   private readonly leaseClock = new LeaseClock({
@@ -90,8 +98,8 @@
   private readonly loads = new LoadView();
   private readonly routing: SlotRouting;
   private readonly addresses = new Map<string, string>();
-  /** Latest run of each endpoint, by the id that it gives itself. */
-  private readonly latest = new Map<string, EndpointHeartbeat>();
+  /** Heartbeat of the latest incarnation of each endpoint, by the id from its settings. */
+  private readonly latestHeartbeats = new Map<string, EndpointHeartbeat>();
 
   constructor(options: EndpointPoolOptions) {
     this.options = options;
@@ -99,15 +107,15 @@
     this.directory = new EndpointDirectory({
       leaseMs: options.heartbeatMs * MISSED_HEARTBEATS,
       slowStartMs: 1,
-      failuresToEject: FAILURES_TO_EJECT,
+      failuresToEject: FAILURES_BEFORE_EJECTION,
       firstEjectionMs: FIRST_EJECTION_MS,
       leaseClock: this.leaseClock,
     });
     this.routing = new SlotRouting({ random: options.random });
   }
 
-  /** Takes the news of a control process; true where some run was not known before. */
-  hear(heartbeats: readonly AgedHeartbeat[]): boolean {
+  /** Applies heartbeats relayed by a control process; returns whether an incarnation is new. */
+  observeHeartbeats(heartbeats: readonly AgedHeartbeat[]): boolean {
     const nowMs = this.options.nowMs();
     this.leaseClock.heard(nowMs);
     let isAnyNew = false;
@@ -122,29 +130,32 @@
     return isAnyNew;
   }
 
-  /** False for a heartbeat of an earlier run that came late; a later run ends the one before. */
+  /**
+   * Returns false for a delayed heartbeat of a previous incarnation; a new one replaces the
+   * previous.
+   */
   private isOfLatestRun(heartbeat: EndpointHeartbeat, ageMs: number): boolean {
-    const known = this.latest.get(heartbeat.endpointId);
-    this.latest.set(heartbeat.endpointId, heartbeat);
+    const known = this.latestHeartbeats.get(heartbeat.endpointId);
+    this.latestHeartbeats.set(heartbeat.endpointId, heartbeat);
     if (known === undefined || known.startedAtMs === heartbeat.startedAtMs) return true;
     if (known.startedAtMs > heartbeat.startedAtMs) {
-      this.latest.set(heartbeat.endpointId, known);
+      this.latestHeartbeats.set(heartbeat.endpointId, known);
       return false;
     }
-    const goneId = runIdOf(known);
-    this.forget(goneId);
-    this.options.onRunGone(goneId, known.address, ageMs);
+    const previousId = runIdOf(known);
+    this.forget(previousId);
+    this.options.onRunReplaced(previousId, known.address, ageMs);
     return true;
   }
 
-  /** Drops a run with all that is believed of it. */
+  /** Removes an incarnation with its health and load state. */
   private forget(runId: string): void {
     this.directory.forget(runId);
     this.addresses.delete(runId);
     this.loads.forget(runId);
   }
 
-  /** Endpoints that leave take nothing from now on. */
+  /** Marks endpoints that drain or deregister: no new work is sent to them. */
   markLeaving(endpointIds: readonly string[]): void {
     const nowMs = this.options.nowMs();
     for (const endpointId of endpointIds) {
@@ -157,12 +168,12 @@
     }
   }
 
-  /** The process of a run has ended: it takes nothing until it is heard again. */
-  markEnded(endpointId: string): void {
+  /** Marks an incarnation whose process has ended: it is not used until its next heartbeat. */
+  markDown(endpointId: string): void {
     this.directory.ended(endpointId, this.options.nowMs());
   }
 
-  /** Forgets endpoints that are gone; gives the addresses still in use. */
+  /** Removes endpoints whose leases have expired; returns the addresses still in use. */
   sweep(): ReadonlySet<string> {
     const nowMs = this.options.nowMs();
     this.directory.forgetSilent(nowMs);
@@ -171,17 +182,18 @@
     for (const runId of this.addresses.keys()) {
       if (!liveIds.has(runId)) this.addresses.delete(runId);
     }
-    // Other entries tell of runs that were never heard of here, or no longer are.
+    // Other entries also report loads of incarnations that are unknown or already removed here.
     this.loads.keepOnly(liveIds);
-    for (const [endpointId, heartbeat] of this.latest) {
-      if (this.directory.get(runIdOf(heartbeat)) === undefined) this.latest.delete(endpointId);
+    for (const [endpointId, heartbeat] of this.latestHeartbeats) {
+      if (this.directory.get(runIdOf(heartbeat)) === undefined)
+        this.latestHeartbeats.delete(endpointId);
     }
     return new Set(this.addresses.values());
   }
 
   /**
-   * Endpoints of a service in reach that may take work now. Only these are looked at, 8 of 90 in a large
-   * fleet: it is asked 25 times a second.
+   * Returns the usable endpoints of a service in this entry's subset. Called 25 times a second, so
+   * only the subset is examined, which has 8 of 90 endpoints in a large fleet.
    */
   usableInSubset(service: string): SlotCandidate[] {
     const nowMs = this.options.nowMs();
@@ -191,8 +203,8 @@
     });
   }
 
-  /** Endpoints that are up and do not leave, whether or not they take work now. */
-  present(): ZonedName[] {
+  /** Returns the endpoints that are up and not draining, including ejected ones. */
+  activeEndpoints(): ZonedName[] {
     return this.directory
       .live(this.options.nowMs())
       .filter(({ announcement }) => !announcement.leaving)
@@ -202,12 +214,12 @@
       }));
   }
 
-  /** Whether an endpoint may take work now. */
+  /** Returns whether an endpoint may take work now. */
   isUsable(endpointId: string): boolean {
     return this.directory.isUsable(endpointId, this.options.nowMs());
   }
 
-  /** `host:port` of an endpoint. */
+  /** Returns the `host:port` of an endpoint. */
   addressOf(endpointId: string): string | undefined {
     return this.addresses.get(endpointId);
   }
@@ -217,7 +229,7 @@
     tried: ReadonlySet<string>,
     terms: ChoiceTerms = {},
   ): ChosenEndpoint | undefined {
-    const chosen = this.chooseNear(service, tried, terms);
+    const chosen = this.chooseCandidate(service, tried, terms);
     if (chosen === undefined) return undefined;
     const { endpointId, online, batch, slots } = chosen;
     const address = this.addresses.get(endpointId);
@@ -239,27 +251,27 @@
   }
 
   began(endpointId: string): void {
-    this.change(endpointId, 'online', 1);
+    this.changeLoad(endpointId, 'online', 1);
     this.directory.sent(endpointId);
   }
 
   ended(endpointId: string, result: SendResult, firstPartMs: number | undefined): void {
-    this.change(endpointId, 'online', -1);
-    this.judge(endpointId, result, firstPartMs);
+    this.changeLoad(endpointId, 'online', -1);
+    this.recordOutcome(endpointId, result, firstPartMs);
   }
 
   answers(endpointId: string): void {
     this.directory.answers(endpointId);
   }
 
-  /** A batch run begins or ends at an endpoint. */
+  /** Counts a batch item that begins (1) or ends (-1) at an endpoint. */
   batchChange(endpointId: string, by: 1 | -1): void {
-    this.change(endpointId, 'batch', by);
+    this.changeLoad(endpointId, 'batch', by);
     if (by === 1) this.directory.sent(endpointId);
   }
 
-  /** Notes how a send ended, for the choice of endpoints. */
-  judge(endpointId: string, result: SendResult, firstPartMs: number | undefined): void {
+  /** Updates the health of an endpoint with the outcome of an attempt. */
+  recordOutcome(endpointId: string, result: SendResult, firstPartMs: number | undefined): void {
     const nowMs = this.options.nowMs();
     if (result.kind === 'complete') {
       this.directory.succeeded(endpointId, firstPartMs, nowMs);
@@ -273,11 +285,11 @@
       result.kind === 'ended' &&
       result.outcome.kind !== 'refused' &&
       result.outcome.kind !== 'failed';
-    if (!isFailure || this.saysNothing(endpointId, result)) {
+    if (!isFailure || this.isInconclusive(endpointId, result)) {
       this.directory.inconclusive(endpointId);
       return;
     }
-    if (isNobodyThere(result)) this.markEnded(endpointId);
+    if (isConnectionRefused(result)) this.markDown(endpointId);
     else if (result.outcome.kind === 'notSent') this.eject(endpointId);
     else this.directory.failed(endpointId, nowMs);
   }
@@ -289,13 +301,13 @@
     return online + batch >= slots;
   }
 
-  /** What this entry has under way. */
+  /** Returns the load from this entry by endpoint. */
   ownLoads(): LoadCount[] {
     return this.loads.own();
   }
 
-  /** Takes what another entry has under way. */
-  hearLoads(from: string, counts: readonly LoadCount[]): void {
+  /** Applies the loads reported by another entry. */
+  observePeerLoads(from: string, counts: readonly LoadCount[]): void {
     const nowMs = this.options.nowMs();
     for (const { endpointId, online, batch } of counts) {
       this.loads.peerCount(endpointId, from, { online, batch }, nowMs);
@@ -308,43 +320,45 @@
   }
 
   /**
-   * Endpoints beyond reach are for when half of those in reach cannot be used. Their users do not tell this
-   * entry of their load: a short queue that is known is better. While entries left as soon as no slot in
-   * reach was free, and took the others for idle, 98 of 409 requests of a peak went there and 35 of these
-   * were late; of 19 that queued in reach 2 were (one zone of a fleet of 165 entries and 52 endpoints).
+   * Chooses in the subset; endpoints outside it are used only if half of the subset is unusable.
+   * Their load is not reported to this entry, so a short known queue is better. When entries left
+   * the subset as soon as it had no free slot and assumed other endpoints to be idle, 98 of 409
+   * requests of a peak left it and 35 of these missed their target; 2 of the 19 that queued in the
+   * subset did (one zone of a fleet of 165 entries and 52 endpoints).
    */
-  private chooseNear(
+  private chooseCandidate(
     service: string,
     tried: ReadonlySet<string>,
     terms: ChoiceTerms,
   ): SlotCandidate | undefined {
     const isUntried = ({ endpointId }: SlotCandidate): boolean => !tried.has(endpointId);
-    const near = this.usableInSubset(service).filter(isUntried);
+    const usable = this.usableInSubset(service).filter(isUntried);
     const mayQueue = terms.mayQueue !== false && !this.areLoadsUnknown;
     const zone = this.options.availabilityZone;
-    const chosen = this.routing.choose(near, zone, { ...terms, mayQueue });
-    if (chosen !== undefined || this.isEnough(near.length)) return chosen;
-    return this.chooseFar(this.usable(service).filter(isUntried));
+    const chosen = this.routing.choose(usable, zone, { ...terms, mayQueue });
+    if (chosen !== undefined || this.hasEnoughUsable(usable.length)) return chosen;
+    return this.chooseOutsideSubset(this.usable(service).filter(isUntried));
   }
 
-  /** Whether the endpoints in reach that may take work are as many as usual, so that only their load keeps a request. */
-  private isEnough(usableCount: number): boolean {
-    return usableCount > ENOUGH_SHARE * this.options.inSubset().size;
+  /** Returns whether enough of the subset is usable to keep requests within it. */
+  private hasEnoughUsable(usableCount: number): boolean {
+    return usableCount > MIN_USABLE_SHARE * this.options.inSubset().size;
   }
 
-  /** Any of them alike, in whatever zone: that of this entry is full as far as it knows. */
-  private chooseFar(usable: readonly SlotCandidate[]): SlotCandidate | undefined {
+  /** Chooses uniformly in all zones, since the subset in this entry's zone is full or unusable. */
+  private chooseOutsideSubset(usable: readonly SlotCandidate[]): SlotCandidate | undefined {
     const inSubset = this.options.inSubset();
-    const far = usable.filter(({ endpointId }) => !inSubset.has(endpointId));
-    return far[Math.floor(this.options.random() * far.length)];
+    const outside = usable.filter(({ endpointId }) => !inSubset.has(endpointId));
+    return outside[Math.floor(this.options.random() * outside.length)];
   }
 
   /**
-   * An answer that fell silent after it had begun tells of its connection: the next request opens a
-   * new one, which fails at once where the endpoint is gone. Silence before that says nothing of
-   * an endpoint that has more requests than it runs at once.
+   * Returns whether a timeout says nothing about the endpoint's health. Once a response has begun,
+   * the connection is suspected: the next request opens a new one, which fails at once if the
+   * endpoint has stopped. Before that, the request may have been queued at an endpoint without a
+   * free slot.
    */
-  private saysNothing(endpointId: string, result: SendResult): boolean {
+  private isInconclusive(endpointId: string, result: SendResult): boolean {
     if (result.kind !== 'ended' || !('isSilence' in result.outcome)) return false;
     const hasBegun = result.outcome.kind === 'brokeOff';
     this.options.onSilence(hasBegun ? 'begun' : 'notBegun');
@@ -353,25 +367,26 @@
 
   private eject(endpointId: string): void {
     const nowMs = this.options.nowMs();
-    for (let failure = 0; failure < FAILURES_TO_EJECT; failure += 1) {
+    for (let failure = 0; failure < FAILURES_BEFORE_EJECTION; failure += 1) {
       this.directory.failed(endpointId, nowMs);
     }
   }
 
-  private change(endpointId: string, kind: 'online' | 'batch', by: 1 | -1): void {
+  private changeLoad(endpointId: string, kind: 'online' | 'batch', by: 1 | -1): void {
     this.loads.change(endpointId, kind, by);
     this.options.onLoadChange(endpointId);
   }
 
-  /** Whether the others that use the endpoints have not told their loads yet. */
+  /** Whether the entries that share the endpoints may not have reported their loads yet. */
   private get areLoadsUnknown(): boolean {
     return this.options.nowMs() - this.startedAtMs < LOADS_UNKNOWN_MS;
   }
 
   /**
-   * Online requests at an endpoint. Until the others have told theirs, each is taken to have as many as this entry: after
-   * a loss of all processes in a peak the entries took the endpoints for idle, sent 560 requests to 224 slots in 0.8 s, and
-   * what came then waited 0.45 s behind them.
+   * Returns the online requests at an endpoint. Until the other entries have reported theirs, each
+   * is assumed to have as many as this one. Without this, entries that all restarted in a peak took
+   * the endpoints for idle and sent 560 requests to 224 slots in 0.8 s, and later ones waited 0.45
+   * s.
    */
   private onlineAt(endpointId: string, nowMs: number): number {
     const known = Math.round(this.loads.online(endpointId, nowMs, false));
@@ -391,10 +406,10 @@
   }
 }
 
-/** Whether the machine answered that nobody listens. */
-function isNobodyThere(result: SendResult): boolean {
+/** Returns whether the connection was refused because no process listens on the port. */
+function isConnectionRefused(result: SendResult): boolean {
   if (result.kind !== 'ended' || result.outcome.kind !== 'notSent') return false;
-  return result.outcome.reason === CLOSED_PORT;
+  return result.outcome.reason === CONNECTION_REFUSED;
 }
 
 function isMisdirected(result: SendResult): boolean {
@@ -405,7 +420,7 @@
 function announcementOf(heartbeat: EndpointHeartbeat, leaving: boolean): Announcement {
   return {
     endpointId: runIdOf(heartbeat),
-    // The id tells the runs of an endpoint apart already.
+    // The id is already unique to the incarnation.
     incarnation: 0,
     sequence: heartbeat.sequence,
     url: `http://${heartbeat.address}`,
--- a/packages/gateway/src/entry-links.ts
+++ b/packages/gateway/src/entry-connections.ts
@@ -1,28 +1,30 @@
 /**
- * Connections between the entries that share endpoints: one a pair, over which both send. One each
- * way cost twice the handshakes at each start, and twice the pings of connections that rest.
+ * Connections between entries that share endpoints: one per pair, used in both directions. One per
+ * direction would double the handshakes at each start and the pings of idle connections.
  */
 import type { Link, PeerAddress, PeerConnections } from '@shedline/transport';
 
-/** Options of {@link EntryLinks}. */
-export interface EntryLinksOptions {
+/** Options of {@link EntryConnections}. */
+export interface EntryConnectionsOptions {
   /** Name of this entry. */
   readonly self: string;
   /** Connections that this entry opens. */
   readonly opened: PeerConnections;
-  /** The connection that another entry has opened to this one. */
+  /** Returns the connection that another entry opened to this one. */
   readonly accepted: (peerName: string) => Pick<Link, 'send'> | undefined;
 }
 
-/** Sends messages to other entries. */
-export class EntryLinks {
-  private readonly options: EntryLinksOptions;
+/** Maintains the connections to other entries, and sends messages over them. */
+export class EntryConnections {
+  private readonly options: EntryConnectionsOptions;
 
-  constructor(options: EntryLinksOptions) {
+  constructor(options: EntryConnectionsOptions) {
     this.options = options;
   }
 
-  /** Keeps connections to exactly these entries; of each pair the one of the lower name opens it. */
+  /**
+   * Keeps connections to exactly these entries; the entry with the lower name of a pair connects.
+   */
   keepOnly(entries: readonly PeerAddress[]): void {
     const { self, opened } = this.options;
     const toOpen = entries.filter(({ name }) => self < name);
@@ -30,7 +32,7 @@
     opened.keepOnly(new Set(toOpen.map(({ name }) => name)));
   }
 
-  /** Sends a one-way message; it is dropped while there is no connection. */
+  /** Sends a one-way message; drops it if there is no connection. */
   send(peerName: string, method: string, payload: unknown): void {
     const link = this.options.opened.get(peerName) ?? this.options.accepted(peerName);
     link?.send(method, payload);
--- a/packages/gateway/src/fleet-follower.test.ts
+++ b/packages/gateway/src/fleet-follower.test.ts
@@ -36,10 +36,10 @@
   };
 }
 
-/** Control processes that answer at once, each with the version that it knows. */
+/** Control processes that reply at once, each with its own version. */
 class FakeControls {
-  readonly asked: string[] = [];
-  readonly askedForState: string[] = [];
+  readonly refreshes: string[] = [];
+  readonly stateReads: string[] = [];
   private readonly versions: Readonly<Record<string, number>>;
 
   constructor(versions: Readonly<Record<string, number>>) {
@@ -50,9 +50,9 @@
     const ready = Object.entries(this.versions).map(([peerName, version]) => ({
       peerName,
       request: (method: string): Promise<RefreshAnswer | StateAnswer> => {
-        const isForState = method === 'fleetState';
-        (isForState ? this.askedForState : this.asked).push(peerName);
-        if (isForState) return Promise.resolve({ delta: deltaOf(version) });
+        const isStateRead = method === 'fleetState';
+        (isStateRead ? this.stateReads : this.refreshes).push(peerName);
+        if (isStateRead) return Promise.resolve({ delta: deltaOf(version) });
         return Promise.resolve({
           delta: deltaOf(version),
           endpoints: { epoch: peerName, cursor: 1, heartbeats: [HEARTBEAT] },
@@ -63,13 +63,13 @@
   }
 }
 
-/** A quorum that answers when the test says so. */
+/** A quorum whose reply the test controls. */
 class FakeQuorum implements GroupCaller {
-  answer: (delta: FleetDelta) => void = () => undefined;
+  reply: (delta: FleetDelta) => void = () => undefined;
 
   call(): Promise<unknown> {
     return new Promise((resolve) => {
-      this.answer = resolve;
+      this.reply = resolve;
     });
   }
 }
@@ -78,14 +78,14 @@
   readonly follower: FleetFollower;
   readonly controls: FakeControls;
   readonly quorum: FakeQuorum;
-  readonly heard: AgedHeartbeat[];
+  readonly received: AgedHeartbeat[];
   readonly routes: number[];
 }
 
 function setup(versions: Readonly<Record<string, number>>): Setup {
   const controls = new FakeControls(versions);
   const quorum = new FakeQuorum();
-  const heard: AgedHeartbeat[] = [];
+  const received: AgedHeartbeat[] = [];
   const routes: number[] = [];
   const follower = new FleetFollower({
     controls: controls.connections,
@@ -93,12 +93,12 @@
     isNear: (control) => control === 'near',
     logger: createLogger({ level: 'silent' }),
     nowMs: () => performance.now(),
-    onHeartbeats: (heartbeats) => heard.push(...heartbeats),
+    onHeartbeats: (heartbeats) => received.push(...heartbeats),
     onLeaving: () => undefined,
     onCrashes: () => undefined,
     onRoutes: () => routes.push(follower.fleet.position.version),
   });
-  return { follower, controls, quorum, heard, routes };
+  return { follower, controls, quorum, received, routes };
 }
 
 async function until(what: () => boolean): Promise<void> {
@@ -106,71 +106,76 @@
 }
 
 describe('FleetFollower', () => {
-  test(title('hears of endpoints before the quorum answers, but obeys no routes'), async (t) => {
+  test(title('receives endpoints, but applies no routes, before the quorum replies'), async (t) => {
     const all = setup({ near: 3 });
     const started = all.follower.start();
-    await until(() => all.heard.length > 0);
-    t.is(all.follower.fleet.routes, undefined, 'a control process alone may lag');
-    all.quorum.answer(deltaOf(4));
+    await until(() => all.received.length > 0);
+    t.is(all.follower.fleet.routes, undefined, 'a single control process may lag');
+    all.quorum.reply(deltaOf(4));
     await started;
     t.deepEqual(all.routes, [4]);
     all.follower.stop();
   });
 
   /**
-   * A control process that starts again tells of the state on its disk before it has heard from a leader. An entry that
-   * starts beside it obeyed that, older than what had been acknowledged, until its first read through the quorum.
+   * A restarted control process pushes the state from its disk before it has contacted a leader. An
+   * entry that starts at the same time must not apply it, since it may be older than acknowledged
+   * changes.
    */
-  test(title('obeys nothing that is pushed before the quorum has answered'), async (t) => {
+  test(title('applies no pushed change before the quorum has replied'), async (t) => {
     const all = setup({});
     const started = all.follower.start();
-    all.follower.takePushed(deltaOf(3), 'starting');
+    all.follower.handleDelta(deltaOf(3), 'starting');
     t.is(all.follower.fleet.routes, undefined);
-    all.quorum.answer(deltaOf(5));
-    all.follower.takePushed(deltaOf(6), 'leading');
+    all.quorum.reply(deltaOf(5));
+    all.follower.handleDelta(deltaOf(6), 'leading');
     await started;
-    t.deepEqual(all.routes, [5, 6], 'what came meanwhile and is newer holds');
-    all.follower.takePushed(deltaOf(7), 'leading');
+    t.deepEqual(all.routes, [5, 6], 'a newer change received in the meantime is applied');
+    all.follower.handleDelta(deltaOf(7), 'leading');
     t.is(all.follower.fleet.position.version, 7);
     all.follower.stop();
   });
 
   /**
-   * What is acknowledged while a control process is behind a cut is pushed to others only. Entries asked it again within 1.2 s
-   * at best, by turns with all others: after a cut that took half of eight, some obeyed an old configuration for seconds.
+   * Changes that are acknowledged while a control process is partitioned are not pushed to its
+   * entries. Polling in rotation reaches it after 1.2 s at best: after a partition of four of eight
+   * control processes, some entries applied an old configuration for seconds.
    */
-  test(title('asks a control process as soon as it is connected'), async (t) => {
+  test(title('reads the state from a control process as soon as it is connected'), async (t) => {
     const all = setup({ near: 1, far: 2, distant: 3 });
-    all.follower.controlConnected('distant');
-    t.deepEqual(all.controls.askedForState, [], 'the first read is that of the quorum');
+    all.follower.onControlConnected('distant');
+    t.deepEqual(all.controls.stateReads, [], 'the initial read goes through the quorum');
     const started = all.follower.start();
-    all.quorum.answer(deltaOf(1));
+    all.quorum.reply(deltaOf(1));
     await started;
-    all.follower.controlConnected('distant');
-    t.deepEqual(all.controls.askedForState, ['distant'], 'at once, and not at its turn');
+    all.follower.onControlConnected('distant');
+    t.deepEqual(all.controls.stateReads, ['distant'], 'at once, not in rotation');
     await until(() => all.follower.fleet.position.version === 3);
     all.follower.stop();
   });
 
-  test(title('asks the control process nearby each time, and the others by turns'), async (t) => {
-    const all = setup({ first: 1, near: 1, second: 1 });
-    const started = all.follower.start();
-    all.quorum.answer(deltaOf(1));
-    await started;
-    await until(
-      () => all.controls.asked.includes('first') && all.controls.asked.includes('second'),
-    );
-    all.follower.stop();
-    const near = all.controls.asked.filter((name) => name === 'near').length;
-    t.true(near >= 6, 'two others were asked, one at every fourth look');
-  });
+  test(
+    title('polls the control process in its zone each time, and the others in rotation'),
+    async (t) => {
+      const all = setup({ first: 1, near: 1, second: 1 });
+      const started = all.follower.start();
+      all.quorum.reply(deltaOf(1));
+      await started;
+      await until(
+        () => all.controls.refreshes.includes('first') && all.controls.refreshes.includes('second'),
+      );
+      all.follower.stop();
+      const near = all.controls.refreshes.filter((name) => name === 'near').length;
+      t.true(near >= 6, 'two others were polled, one at every fourth poll');
+    },
+  );
 
-  test(title('an answer that lags never takes newer routes back'), async (t) => {
+  test(title('never replaces newer routes by older ones'), async (t) => {
     const all = setup({ near: 2 });
     const started = all.follower.start();
-    all.quorum.answer(deltaOf(5));
+    all.quorum.reply(deltaOf(5));
     await started;
-    await until(() => all.controls.asked.length >= 2);
+    await until(() => all.controls.refreshes.length >= 2);
     await pause(5);
     t.is(all.follower.fleet.position.version, 5);
     t.deepEqual(all.routes, [5]);
--- a/packages/gateway/src/fleet-follower.ts
+++ b/packages/gateway/src/fleet-follower.ts
@@ -1,7 +1,7 @@
 /**
- * Keeps an entry's knowledge of the fleet fresh: it asks control processes for what is new and
- * takes what they push. Before its first answer it asks the quorum, so that a process that just
- * started obeys nothing older than what was acknowledged.
+ * Keeps an entry's copy of the fleet state up to date: it polls control processes and receives the
+ * changes that they push. The initial read goes through the quorum, so that a restarted entry never
+ * applies a state older than one that was acknowledged.
  */
 import { setTimeout as pause } from 'node:timers/promises';
 import type { GroupCaller } from '@shedline/control-client';
@@ -14,55 +14,63 @@
 import type { PeerConnections, PeerClient } from '@shedline/transport';
 import { StateFreshness } from './state-freshness.js';
 
-/** Time between looks; a change is in force well within the two seconds that operators allow. */
+/** Polling interval; short enough that a change is in force within the 2 s that operators allow. */
 const REFRESH_INTERVAL_MS = 300;
-/** Time between the first looks for endpoints; grows until it is the usual one. */
-const FIRST_LOOK_PAUSE_MS = 40;
-const LOOK_PAUSE_GROWTH = 1.25;
+/** First polling interval of the endpoint discovery; grows up to the usual interval. */
+const FIRST_DISCOVERY_PAUSE_MS = 40;
+const DISCOVERY_PAUSE_GROWTH = 1.25;
 const REFRESH_TIMEOUT_MS = 700;
 const FIRST_READ_TIMEOUT_MS = 1500;
 const FIRST_READ_PAUSE_MS = 20;
 /**
- * Looks of which one asks a further control process: the near one may be cut off from the
- * others. The interval of heartbeats, so that no endpoint is missed for longer.
+ * Number of polls after which a further control process is polled too, since the one in the same
+ * zone may be partitioned from the others. Equals the interval of heartbeats, so that no endpoint
+ * is missed for longer.
  */
-const LOOKS_PER_CROSS_CHECK = 4;
+const REFRESHES_PER_CROSS_CHECK = 4;
 
-/** News kept until the first read; what is lost with the oldest is asked for. */
-const MAX_EARLY_NEWS = 64;
+/**
+ * Maximum number of pushed changes kept until the initial read; dropped ones are read by polling.
+ */
+const MAX_EARLY_DELTAS = 64;
 
 /** Options of {@link FleetFollower}. */
 export interface FleetFollowerOptions {
   readonly controls: PeerConnections;
   readonly caller: GroupCaller;
-  /** Whether a control process stands in the availability zone of this entry. */
+  /** Whether a control process is in the availability zone of this entry. */
   readonly isNear: (control: string) => boolean;
   readonly logger: Logger;
   readonly nowMs: () => number;
   readonly onHeartbeats: (heartbeats: readonly AgedHeartbeat[]) => void;
   readonly onLeaving: (endpointIds: readonly string[]) => void;
-  /** Called with news of the contents under which endpoints have ended. */
+  /** Called with changes of the record of contents that crashed endpoints. */
   readonly onCrashes: (changes: CrashChanges, from: string) => void;
-  /** Called when other routes are in force. */
+  /** Called when new routes are in force. */
   readonly onRoutes: () => void;
 }
 
-/** What an entry knows of the fleet, and how fresh it is. */
+/** Follows the fleet state, and tracks its freshness. */
 export class FleetFollower {
   readonly fleet = new KnownFleet();
   private readonly options: FleetFollowerOptions;
   private readonly freshness: StateFreshness;
   private readonly cursors = new Map<string, { epoch: string; cursor: number }>();
-  private readonly asking = new Set<string>();
+  private readonly pendingControls = new Set<string>();
   private timer: NodeJS.Timeout | undefined;
-  private looks = 0;
-  private turn = 0;
-  private stopped = false;
-  private lastAnswerMs = -Infinity;
-  /** Whether the quorum was asked; a control process alone may lag behind what is acknowledged. */
-  private isCurrent = false;
-  /** News pushed before that: they may come from a control process that has not caught up after its own start. */
-  private readonly early: { readonly delta: FleetDelta; readonly from: string }[] = [];
+  private refreshCount = 0;
+  private crossCheckCount = 0;
+  private isStopped = false;
+  private lastReplyAtMs = -Infinity;
+  /**
+   * Whether the initial read is done; a single control process may lag behind acknowledged changes.
+   */
+  private hasReadQuorum = false;
+  /**
+   * Changes pushed before that, possibly by a control process that has not caught up after a
+   * restart.
+   */
+  private readonly earlyDeltas: { readonly delta: FleetDelta; readonly from: string }[] = [];
   private hasEndpoints = false;
 
   constructor(options: FleetFollowerOptions) {
@@ -76,48 +84,48 @@
     });
   }
 
-  /** Time since a quorum was known to hold nothing newer than is known here. */
-  get unconfirmedMs(): number {
+  /** Time since a quorum was last known to hold no newer state than this entry. */
+  get stateAgeMs(): number {
     return this.freshness.ageMs;
   }
 
-  /** Time since a control process last answered. */
-  get silentMs(): number {
-    return this.options.nowMs() - this.lastAnswerMs;
+  /** Time since the last reply of a control process. */
+  get controlSilenceMs(): number {
+    return this.options.nowMs() - this.lastReplyAtMs;
   }
 
-  /** Reads the state through the quorum, then goes on to follow it. */
+  /** Reads the state through the quorum, then starts polling. */
   async start(): Promise<void> {
-    void this.lookForEndpoints();
-    await this.readCurrent();
-    this.isCurrent = true;
-    for (const { delta, from } of this.early.splice(0)) this.take(delta, from);
+    void this.discoverEndpoints();
+    await this.readFromQuorum();
+    this.hasReadQuorum = true;
+    for (const { delta, from } of this.earlyDeltas.splice(0)) this.apply(delta, from);
     this.timer = setInterval(() => {
       this.refresh();
     }, REFRESH_INTERVAL_MS);
     this.refresh();
   }
 
-  /** Ends. */
+  /** Stops polling. */
   stop(): void {
-    this.stopped = true;
+    this.isStopped = true;
     clearInterval(this.timer);
   }
 
-  /** Takes news that a control process pushes; those that come before the first read wait for it. */
-  takePushed(delta: FleetDelta, from: string): void {
-    if (this.isCurrent) this.take(delta, from);
-    else this.early.push({ delta, from });
-    if (this.early.length > MAX_EARLY_NEWS) this.early.shift();
+  /** Applies a pushed change, or keeps it until the initial read is done. */
+  handleDelta(delta: FleetDelta, from: string): void {
+    if (this.hasReadQuorum) this.apply(delta, from);
+    else this.earlyDeltas.push({ delta, from });
+    if (this.earlyDeltas.length > MAX_EARLY_DELTAS) this.earlyDeltas.shift();
   }
 
-  /** A connection is up: what was pushed while there was none is asked for. */
-  controlConnected(name: string): void {
+  /** Reads changes that were pushed while there was no connection to this control process. */
+  onControlConnected(name: string): void {
     const control = this.options.controls.ready.find(({ peerName }) => peerName === name);
-    if (this.isCurrent && control !== undefined) void this.askState(control);
+    if (this.hasReadQuorum && control !== undefined) void this.requestState(control);
   }
 
-  private take(delta: FleetDelta, from: string): void {
+  private apply(delta: FleetDelta, from: string): void {
     const { newlyLeaving, routesChanged, crashes } = this.fleet.take(delta);
     if (crashes !== undefined) this.options.onCrashes(crashes, from);
     const { logger } = this.options;
@@ -127,28 +135,31 @@
       this.options.onRoutes();
     }
     if (newlyLeaving.length === 0) return;
-    logger.info('endpoints leave', { step: 'leave', endpoints: newlyLeaving, peer: from });
+    logger.info('endpoints leaving', { step: 'leave', endpoints: newlyLeaving, peer: from });
     this.options.onLeaving(newlyLeaving);
   }
 
-  /** Takes heartbeats, pushed or asked for. */
-  takeHeartbeats(heartbeats: readonly AgedHeartbeat[]): void {
+  /** Handles pushed or polled heartbeats. */
+  handleHeartbeats(heartbeats: readonly AgedHeartbeat[]): void {
     this.hasEndpoints ||= heartbeats.length > 0;
     this.options.onHeartbeats(heartbeats);
   }
 
-  /** Endpoints are asked for while the routes are not known yet: both are needed to serve. */
-  private async lookForEndpoints(): Promise<void> {
-    let pauseMs = FIRST_LOOK_PAUSE_MS;
-    while (!this.stopped && !this.hasEndpoints && pauseMs < REFRESH_INTERVAL_MS) {
+  /**
+   * Polls for endpoints during the initial read, since both routes and endpoints are needed to
+   * serve.
+   */
+  private async discoverEndpoints(): Promise<void> {
+    let pauseMs = FIRST_DISCOVERY_PAUSE_MS;
+    while (!this.isStopped && !this.hasEndpoints && pauseMs < REFRESH_INTERVAL_MS) {
       this.refresh();
       await pause(pauseMs);
-      pauseMs *= LOOK_PAUSE_GROWTH;
+      pauseMs *= DISCOVERY_PAUSE_GROWTH;
     }
   }
 
-  private async readCurrent(): Promise<void> {
-    while (!this.stopped) {
+  private async readFromQuorum(): Promise<void> {
+    while (!this.isStopped) {
       try {
         const { position } = this.fleet;
         const askedAtMs = this.options.nowMs();
@@ -158,74 +169,86 @@
           position,
           FIRST_READ_TIMEOUT_MS,
         );
-        this.take(answer as FleetDelta, 'quorum');
-        this.freshness.confirmed(askedAtMs, 'quorum');
+        this.apply(answer as FleetDelta, 'quorum');
+        this.freshness.confirm(askedAtMs, 'quorum');
         return;
       } catch (error) {
         const reason = error instanceof Error ? error.message : String(error);
-        this.options.logger.debug('fleet not known yet', { step: 'start', reason });
+        this.options.logger.debug('initial read of the fleet state failed', {
+          step: 'start',
+          reason,
+        });
         await pause(FIRST_READ_PAUSE_MS);
       }
     }
   }
 
   /**
-   * Asks a control process nearby, whose answers are short, since it was asked just before, and
-   * now and then another one.
+   * Polls a control process in this zone, whose replies contain only recent changes, and regularly
+   * one of the others in rotation.
    */
   private refresh(): void {
-    const idle = this.options.controls.ready.filter(({ peerName }) => !this.asking.has(peerName));
+    const idle = this.options.controls.ready.filter(
+      ({ peerName }) => !this.pendingControls.has(peerName),
+    );
     const near = idle.find(({ peerName }) => this.options.isNear(peerName)) ?? idle[0];
-    if (near !== undefined) void this.ask(near);
-    this.looks += 1;
-    this.freshness.look();
+    if (near !== undefined) void this.refreshFrom(near);
+    this.refreshCount += 1;
+    this.freshness.check();
     const others = idle.filter((control) => control !== near);
-    const other = others[this.turn % Math.max(1, others.length)];
-    if (other === undefined || this.looks % LOOKS_PER_CROSS_CHECK !== 0) return;
-    this.turn += 1;
-    void this.ask(other);
+    const other = others[this.crossCheckCount % Math.max(1, others.length)];
+    if (other === undefined || this.refreshCount % REFRESHES_PER_CROSS_CHECK !== 0) return;
+    this.crossCheckCount += 1;
+    void this.refreshFrom(other);
   }
 
-  /** Without the endpoints: after a start of the core every entry is connected to all of it at once. */
-  private async askState(control: PeerClient): Promise<void> {
+  /**
+   * Reads the state without endpoints: after a restart of the core all entries reconnect to it at
+   * once.
+   */
+  private async requestState(control: PeerClient): Promise<void> {
     const { peerName } = control;
     const askedAtMs = this.options.nowMs();
     try {
       const state = await control.request('fleetState', this.fleet.position, REFRESH_TIMEOUT_MS);
-      this.takeState(state as StateAnswer, peerName, askedAtMs);
+      this.applyState(state as StateAnswer, peerName, askedAtMs);
     } catch (error) {
-      this.noteNoNews(peerName, error);
+      this.logFailedRefresh(peerName, error);
     }
   }
 
-  private takeState(answer: StateAnswer, peer: string, askedAtMs: number): void {
+  private applyState(answer: StateAnswer, peer: string, askedAtMs: number): void {
     const { delta, confirmedAgeMs = Infinity } = answer;
-    this.take(delta, peer);
-    this.freshness.confirmed(askedAtMs - confirmedAgeMs, peer);
+    this.apply(delta, peer);
+    this.freshness.confirm(askedAtMs - confirmedAgeMs, peer);
   }
 
-  private noteNoNews(peer: string, error: unknown): void {
+  private logFailedRefresh(peer: string, error: unknown): void {
     const reason = error instanceof Error ? error.message : String(error);
-    this.options.logger.debug('no news', { step: 'refresh', peer, reason });
+    this.options.logger.debug('poll of a control process failed', {
+      step: 'refresh',
+      peer,
+      reason,
+    });
   }
 
-  private async ask(control: PeerClient): Promise<void> {
+  private async refreshFrom(control: PeerClient): Promise<void> {
     const { peerName } = control;
-    this.asking.add(peerName);
+    this.pendingControls.add(peerName);
     const known = this.cursors.get(peerName) ?? { epoch: '', cursor: 0 };
     const request: RefreshRequest = { position: this.fleet.position, ...known };
     const askedAtMs = this.options.nowMs();
     try {
       const raw = await control.request('fleetRefresh', request, REFRESH_TIMEOUT_MS);
       const { endpoints, ...state } = raw as RefreshAnswer;
-      this.lastAnswerMs = this.options.nowMs();
-      if (this.isCurrent) this.takeState(state, peerName, askedAtMs);
+      this.lastReplyAtMs = this.options.nowMs();
+      if (this.hasReadQuorum) this.applyState(state, peerName, askedAtMs);
       this.cursors.set(peerName, { epoch: endpoints.epoch, cursor: endpoints.cursor });
-      this.takeHeartbeats(endpoints.heartbeats);
+      this.handleHeartbeats(endpoints.heartbeats);
     } catch (error) {
-      this.noteNoNews(peerName, error);
+      this.logFailedRefresh(peerName, error);
     } finally {
-      this.asking.delete(peerName);
+      this.pendingControls.delete(peerName);
     }
   }
 }
--- a/packages/gateway/src/gateway-process.ts
+++ b/packages/gateway/src/gateway-process.ts
@@ -1,6 +1,6 @@
 /**
- * The caller-facing process of a fleet that finds its members itself: it forwards requests as
- * they are, takes batch jobs and runs their items.
+ * The entry process of a fleet with automatic member discovery: it forwards callers' requests
+ * unchanged to endpoints, accepts batch jobs and runs their items.
  */
 import type { FleetSettings } from '@shedline/config';
 import { LeaderCaller } from '@shedline/control-client';
@@ -17,50 +17,51 @@
 import { callerAddresses } from './caller-addresses.js';
 import { CrashGuard } from './crash-guard.js';
 import { CrashReporter } from './crash-reporter.js';
-import { EndWatch } from './end-watch.js';
+import { CrashDetector } from './crash-detector.js';
 import { EndpointPool } from './endpoint-pool.js';
 import type { LoadCount } from './endpoint-pool.js';
-import { EntryLinks } from './entry-links.js';
+import { EntryConnections } from './entry-connections.js';
 import { FleetFollower } from './fleet-follower.js';
-import { KeyCheck } from './key-check.js';
+import { ApiKeyAuthenticator } from './api-key-authenticator.js';
 import { ItemRunner } from './item-runner.js';
 import { JobService, jobGroupsOf } from './job-service.js';
-import { LoadExchange } from './load-exchange.js';
-import { PlannedStop } from './planned-stop.js';
+import { LoadReporter } from './load-reporter.js';
+import { GracefulShutdown } from './graceful-shutdown.js';
 import { QuotaEnforcer } from './quota-enforcer.js';
-import { PacedJob } from './paced-job.js';
+import { ThrottledTask } from './throttled-task.js';
 import { SubsetTracker } from './subset-tracker.js';
-import { RequestIntake } from './request-intake.js';
-import type { IncomingRequest } from './request-intake.js';
-import { StartGate } from './start-gate.js';
-import type { DisconnectNotifier } from './start-gate.js';
-import { STORE_LINGER_MS, StoreLinks } from './store-links.js';
+import { RequestHandler } from './request-handler.js';
+import type { IncomingRequest } from './request-handler.js';
+import { StartupGate } from './startup-gate.js';
+import type { DisconnectNotifier } from './startup-gate.js';
+import { STORE_LINGER_MS, StoreConnections } from './store-connections.js';
 
 const SWEEP_INTERVAL_MS = 1000;
 /**
- * Least time between two divisions of the fleet, each of which costs as much as there are endpoints: after a start
- * all of them come one after the other.
+ * Minimum time between two computations of the endpoint subsets. Their cost is proportional to the
+ * number of endpoints, which all appear one after another when the fleet starts.
  */
-const REACH_INTERVAL_MS = 50;
+const SUBSET_REFRESH_INTERVAL_MS = 50;
 /**
- * Time that the connection to an entry outlives their sharing of endpoints: each restart in a
- * large fleet moves the division a little, and the next one moves it back.
+ * Time for which the connection to an entry is kept after they stop sharing endpoints: in a large
+ * fleet each restart changes the subsets slightly, and the next one often reverts the change.
  */
 const PEER_LINGER_MS = 10_000;
 /**
- * Pause before a lost connection to another entry is opened again: whoever restarts is up after 400
- * ms and more, and tries in vain took 5 of 29 ms a second while all peers ended (one profile).
+ * Delay before reconnecting to another entry. A restarting entry needs at least 400 ms, and failed
+ * attempts used 5 of 29 ms of CPU time per second while all peers were stopping.
  */
 const PEER_RETRY_MS = 400;
-/** Longest wait for one control process at the first read before another is asked. */
+/** Maximum wait for one control process during the initial read before the next one is tried. */
 const MAX_CONTROL_ATTEMPT_MS = 500;
-/** Longest pause between questions at the first read: callers wait for its answer. */
+/** Maximum pause between attempts of the initial read, which held callers wait for. */
 const MAX_CONTROL_PAUSE_MS = 40;
 /**
- * Longest wait for one store before another is asked: callers wait 3.7 s for the answer to a submission,
- * a reader for up to a second, and one that lost power answers nothing.
+ * Maximum wait for one store before the next one is tried, since a store without power never
+ * replies. Callers wait 3.7 s for the reply to a submission, and up to 1 s for results.
  */
 const MAX_STORE_ATTEMPT_MS = 1500;
+
 /** Options of {@link GatewayProcess}. */
 export interface GatewayProcessOptions {
   readonly settings: FleetSettings;
@@ -70,11 +71,11 @@
   readonly nowMs?: () => number;
 }
 
-/** One entry. */
+/** An entry process. */
 export class GatewayProcess {
   readonly core: ProcessCore;
   readonly jobs: JobService;
-  readonly keys: KeyCheck;
+  readonly keys: ApiKeyAuthenticator;
   readonly metrics = new ProcessMetrics();
   private readonly settings: FleetSettings;
   private readonly logger: Logger;
@@ -82,26 +83,26 @@
   private readonly nowMs: () => number;
   private readonly controlCaller: LeaderCaller;
   private readonly follower: FleetFollower;
-  private readonly endWatch: EndWatch;
+  private readonly crashDetector: CrashDetector;
   private readonly crashReporter: CrashReporter;
-  private readonly guard: CrashGuard;
+  private readonly crashGuard: CrashGuard;
   private readonly pool: EndpointPool;
   private readonly sender: EndpointSender;
   private readonly forwarder: Forwarder;
-  private readonly intake: RequestIntake;
+  private readonly requestHandler: RequestHandler;
   private readonly quotas: QuotaEnforcer;
-  private readonly entries: EntryLinks;
+  private readonly entryConnections: EntryConnections;
   private readonly stores: PeerConnections;
-  private readonly storeLinks: StoreLinks;
-  private readonly exchange: LoadExchange;
+  private readonly storeConnections: StoreConnections;
+  private readonly loadReporter: LoadReporter;
   private readonly subsetTracker: SubsetTracker;
-  private readonly subsetRefresh: PacedJob;
-  private readonly runner: ItemRunner;
-  private timer: NodeJS.Timeout | undefined;
-  private readonly stop: PlannedStop;
-  private seenEntries: readonly MemberRecord[] | undefined;
-  private seenStores: readonly MemberRecord[] | undefined;
-  private readonly startGate: StartGate;
+  private readonly subsetRefresh: ThrottledTask;
+  private readonly itemRunner: ItemRunner;
+  private sweepTimer: NodeJS.Timeout | undefined;
+  private readonly shutdown: GracefulShutdown;
+  private lastEntries: readonly MemberRecord[] | undefined;
+  private lastStores: readonly MemberRecord[] | undefined;
+  private readonly startupGate: StartupGate;
 
   constructor(options: GatewayProcessOptions) {
     const { settings, protocol, logger } = options;
@@ -110,40 +111,44 @@
     this.random = options.random ?? Math.random;
     this.nowMs = options.nowMs ?? (() => performance.now());
     this.core = this.createCore();
-    this.stop = new PlannedStop({
+    this.shutdown = new GracefulShutdown({
       nowMs: this.nowMs,
       stopWithinMs: settings.stopWithinS * 1000,
       addressKeepMs: settings.addressKeepS * 1000,
-      openRequests: () => this.intake.openRequests,
+      openRequests: () => this.requestHandler.openRequests,
     });
-    this.startGate = new StartGate({
+    this.startupGate = new StartupGate({
       nowMs: this.nowMs,
       othersReady: () => this.servingEntries().length > 1,
     });
     const { name } = this.core;
-    this.entries = this.createEntryLinks();
+    this.entryConnections = this.createEntryConnections();
     this.stores = this.core.createPeerConnections({
       lingerMs: STORE_LINGER_MS,
       handlers: {
         onMessage: (method, payload) => {
-          if (method === 'jobEnded') this.runner.jobEnded((payload as JobEndedMessage).jobId);
+          if (method === 'jobEnded') this.itemRunner.stopJob((payload as JobEndedMessage).jobId);
         },
       },
     });
     this.subsetTracker = new SubsetTracker({
       self: name,
       entries: () => this.servingEntries(),
-      endpoints: () => this.pool.present(),
+      endpoints: () => this.pool.activeEndpoints(),
     });
-    this.subsetRefresh = new PacedJob({
-      intervalMs: REACH_INTERVAL_MS,
+    this.subsetRefresh = new ThrottledTask({
+      intervalMs: SUBSET_REFRESH_INTERVAL_MS,
       run: () => {
-        this.refreshSubset();
+        this.refreshSubsets();
       },
     });
     const usersOf = (endpointId: string): readonly string[] =>
       this.subsetTracker.usersOf(endpointId);
-    this.exchange = new LoadExchange({ entries: this.entries, pool: () => this.pool, usersOf });
+    this.loadReporter = new LoadReporter({
+      entries: this.entryConnections,
+      pool: () => this.pool,
+      usersOf,
+    });
     this.controlCaller = new LeaderCaller({
       ports: () => portsOf(this.core.mesh.controls),
       maxAttemptMs: MAX_CONTROL_ATTEMPT_MS,
@@ -151,19 +156,19 @@
     });
     this.follower = this.createFollower();
     this.pool = this.createPool();
-    this.endWatch = this.createEndWatch();
+    this.crashDetector = this.createCrashDetector();
     this.crashReporter = new CrashReporter({
       fleet: this.controlCaller,
       logger,
       nowMs: this.nowMs,
     });
-    this.guard = this.createGuard();
+    this.crashGuard = this.createCrashGuard();
     this.sender = new EndpointSender({ protocol });
     this.forwarder = new Forwarder({
       sender: this.sender,
       protocol,
       chooser: this.pool,
-      guard: this.guard,
+      guard: this.crashGuard,
       logger,
       nowMs: this.nowMs,
     });
@@ -177,33 +182,33 @@
       logger,
       nowMs: this.nowMs,
     });
-    this.intake = new RequestIntake({
+    this.requestHandler = new RequestHandler({
       fleet,
       forwarder: this.forwarder,
       quotas: this.quotas,
-      stop: this.stop,
+      stop: this.shutdown,
       metrics: this.metrics,
       logger,
       random: this.random,
       nowMs: this.nowMs,
     });
-    this.storeLinks = new StoreLinks({
+    this.storeConnections = new StoreConnections({
       connections: this.stores,
       stores: () => this.core.mesh.live('store'),
       groups: () => jobGroupsOf(fleet),
     });
     const storeCaller = new LeaderCaller({
-      ports: (group) => this.storeLinks.ports(group),
+      ports: (group) => this.storeConnections.ports(group),
       maxAttemptMs: MAX_STORE_ATTEMPT_MS,
     });
     this.jobs = new JobService({ stores: storeCaller, fleet, logger });
-    this.runner = new ItemRunner({
+    this.itemRunner = new ItemRunner({
       holder: `${name}/${this.core.epoch}`,
       self: name,
       stores: storeCaller,
       fleet,
       pool: this.pool,
-      endWatch: this.endWatch,
+      crashDetector: this.crashDetector,
       sender: this.sender,
       protocol,
       logger,
@@ -211,23 +216,23 @@
       usersOf: (endpointId) => this.subsetTracker.batchUsersOf(endpointId),
       entryCount: () => this.subsetTracker.batchEntryCount,
     });
-    this.keys = new KeyCheck({
-      silentMs: () => this.follower.silentMs,
+    this.keys = new ApiKeyAuthenticator({
+      silentMs: () => this.follower.controlSilenceMs,
       metrics: this.metrics,
       logger,
     });
     this.addGauges();
   }
 
-  /** Joins the fleet and learns its state; callers may connect before that and are refused. */
+  /** Joins the fleet and reads its state; callers that connect earlier are held or refused. */
   async start(): Promise<void> {
     await this.core.listen();
     this.core.start();
-    this.exchange.start();
+    this.loadReporter.start();
     this.quotas.start();
     await this.follower.start();
-    this.runner.start();
-    this.timer = setInterval(() => {
+    this.itemRunner.start();
+    this.sweepTimer = setInterval(() => {
       this.sweep();
     }, SWEEP_INTERVAL_MS);
     this.logger.info('entry ready', {
@@ -236,72 +241,72 @@
     });
   }
 
-  /** Whether callers should be sent here. */
+  /** Whether this entry accepts new callers: it knows the routes and is not draining. */
   get isReady(): boolean {
     return !this.isDraining && this.follower.fleet.routes !== undefined;
   }
 
-  /** Whether the process has begun to stop. */
+  /** Whether the graceful shutdown has begun. */
   get isDraining(): boolean {
-    return this.stop.hasBegun;
+    return this.shutdown.hasBegun;
   }
 
-  /** Limits on what callers may send; undefined before the first configuration. */
+  /** Size and time limits for callers' requests; undefined before the first configuration. */
   get limits(): CallerLimits | undefined {
     return this.follower.fleet.routes?.configuration.limits;
   }
 
-  /** Addresses for a caller, see {@link callerAddresses}. */
+  /** Addresses of entries for a caller in a zone, see {@link callerAddresses}. */
   addresses(availabilityZone: string): string[] {
     return callerAddresses(this.core.mesh.live('entry'), availabilityZone);
   }
 
-  /** The routes in force here; undefined before the first configuration. */
+  /** Routes of the current configuration; undefined before the first one is received. */
   get routes(): RouteTable | undefined {
     return this.follower.fleet.routes;
   }
 
-  /** Holds a caller's request while the entry starts; gives the time that it was held. */
+  /** Holds a request until the routes are known; returns the time in ms for which it was held. */
   async untilStarted(caller: DisconnectNotifier): Promise<number> {
-    return this.knowsRoutes ? 0 : this.startGate.pass(caller);
+    return this.knowsRoutes ? 0 : this.startupGate.pass(caller);
   }
 
-  /** Whether the routes are known. */
+  /** Whether a configuration has been received. */
   get knowsRoutes(): boolean {
     return this.follower.fleet.routes !== undefined;
   }
 
-  /** Forwards a request; its answer goes into the sink. */
+  /** Forwards a request and writes the response to the sink. */
   forward(incoming: IncomingRequest, sink: ResponseSink): Promise<void> {
-    return this.intake.forward(incoming, sink);
+    return this.requestHandler.forward(incoming, sink);
   }
 
-  /** Takes settings that changed. */
+  /** Applies changed settings. */
   reload(settings: FleetSettings): void {
     this.core.reload(settings);
   }
 
   /**
-   * Planned stop: leaves the address answers, serves on while callers still hold them, hands
-   * batch work back. Resolves when the caller-facing connections may close.
+   * Shuts down gracefully: withdraws this entry's address, keeps serving while callers may still
+   * have it cached, and returns batch items. Resolves when caller connections may be closed.
    */
   async drain(): Promise<void> {
     this.core.mesh.setState('draining');
-    this.logger.info('draining', { step: 'stop', openRequests: this.intake.openRequests });
-    await this.stop.run(this.runner.drain());
-    this.logger.info('drained', { step: 'stop', cutRequests: this.intake.openRequests });
+    this.logger.info('draining', { step: 'stop', openRequests: this.requestHandler.openRequests });
+    await this.shutdown.run(this.itemRunner.drain());
+    this.logger.info('drained', { step: 'stop', cutRequests: this.requestHandler.openRequests });
   }
 
-  /** Ends all connections to the fleet and the endpoints. */
+  /** Closes all connections to the fleet and to the endpoints. */
   async close(): Promise<void> {
-    clearInterval(this.timer);
+    clearInterval(this.sweepTimer);
     this.follower.stop();
     this.subsetRefresh.close();
-    this.runner.close();
+    this.itemRunner.close();
     this.crashReporter.close();
-    this.exchange.stop();
+    this.loadReporter.stop();
     this.quotas.stop();
-    this.entries.close();
+    this.entryConnections.close();
     this.stores.close();
     await this.sender.destroy();
     await this.core.stop();
@@ -316,21 +321,22 @@
       nowMs: this.nowMs,
       record: caller === undefined ? {} : { callerAddress: caller },
       handlers: {
-        onRequest: (method) => Promise.reject(new Error(`an entry answers no ${method}`)),
+        onRequest: (method) =>
+          Promise.reject(new Error(`an entry does not handle ${method} requests`)),
         onMessage: (method, payload, link) => {
           this.onMessage(method, payload, link.peerName);
         },
       },
       onMembersChange: () => {
-        this.membersChanged();
+        this.onMembersChange();
       },
       onControlConnected: (control) => {
-        this.follower.controlConnected(control);
+        this.follower.onControlConnected(control);
       },
     });
   }
 
-  private createEntryLinks(): EntryLinks {
+  private createEntryConnections(): EntryConnections {
     const { core } = this;
     const opened = core.createPeerConnections({
       lingerMs: PEER_LINGER_MS,
@@ -341,7 +347,7 @@
         },
       },
     });
-    return new EntryLinks({
+    return new EntryConnections({
       self: core.name,
       opened,
       accepted: (peerName) => core.server.linkOf(peerName),
@@ -356,17 +362,17 @@
       logger: this.logger,
       nowMs: this.nowMs,
       onHeartbeats: (heartbeats) => {
-        if (this.pool.hear(heartbeats)) this.subsetRefresh.ask();
+        if (this.pool.observeHeartbeats(heartbeats)) this.subsetRefresh.schedule();
       },
       onCrashes: (changes, from) => {
-        this.guard.take(changes, from);
+        this.crashGuard.applyChanges(changes, from);
       },
       onRoutes: () => {
-        this.startGate.open();
+        this.startupGate.open();
       },
       onLeaving: (endpointIds) => {
         this.pool.markLeaving(endpointIds);
-        this.subsetRefresh.ask();
+        this.subsetRefresh.schedule();
       },
     });
   }
@@ -388,14 +394,14 @@
       userCount: (endpointId) => this.subsetTracker.usersOf(endpointId).length,
       entryCount: () => this.subsetTracker.entryCount,
       onLoadChange: (endpointId) => {
-        this.exchange.note(endpointId);
+        this.loadReporter.markChanged(endpointId);
       },
       onSlotWanted: (endpointId) => {
-        this.wantSlot(endpointId);
+        this.requestSlot(endpointId);
       },
-      onRunGone: (endpointId, address, goneForMs) => {
-        this.endWatch.hasRestarted(endpointId);
-        this.endpointRestarted(address, goneForMs);
+      onRunReplaced: (endpointId, address, heartbeatAgeMs) => {
+        this.crashDetector.noteRestart(endpointId);
+        this.onEndpointRestarted(address, heartbeatAgeMs);
       },
       onSilence: (moment) => {
         this.metrics.count('shedline_silent_sends_total', { moment });
@@ -403,12 +409,12 @@
     });
   }
 
-  private createEndWatch(): EndWatch {
-    return new EndWatch({
+  private createCrashDetector(): CrashDetector {
+    return new CrashDetector({
       probe: new ConnectionProbe(),
       isLeaving: (endpointId) => this.follower.fleet.isLeaving(endpointId),
-      onEnded: (endpointId) => {
-        this.pool.markEnded(endpointId);
+      onCrashed: (endpointId) => {
+        this.pool.markDown(endpointId);
         this.metrics.count('shedline_endpoint_ends_total', {});
       },
       logger: this.logger,
@@ -416,48 +422,51 @@
     });
   }
 
-  private createGuard(): CrashGuard {
-    const { crashReporter: reporter, endWatch, logger, nowMs } = this;
-    return new CrashGuard({ endWatch, reporter, logger, nowMs });
+  private createCrashGuard(): CrashGuard {
+    const { crashReporter: reporter, crashDetector, logger, nowMs } = this;
+    return new CrashGuard({ crashDetector, reporter, logger, nowMs });
   }
 
   private addGauges(): void {
-    this.metrics.gauge('shedline_held_contents', () => this.guard.heldCount);
-    this.metrics.gauge('shedline_open_requests', () => this.intake.openRequests);
+    this.metrics.gauge('shedline_held_contents', () => this.crashGuard.heldCount);
+    this.metrics.gauge('shedline_open_requests', () => this.requestHandler.openRequests);
     this.metrics.gauge('shedline_waiting_requests', () => this.forwarder.waitingCount);
-    this.metrics.gauge('shedline_held_at_start', () => this.startGate.waitingCount);
-    this.metrics.gauge('shedline_running_items', () => this.runner.runningCount);
+    this.metrics.gauge('shedline_held_at_start', () => this.startupGate.waitingCount);
+    this.metrics.gauge('shedline_running_items', () => this.itemRunner.runningCount);
     this.metrics.gauge(
       'shedline_configuration_version',
       () => this.follower.fleet.position.version,
     );
-    this.metrics.gauge('shedline_control_silence_milliseconds', () => this.follower.silentMs);
-    this.metrics.gauge('shedline_state_age_milliseconds', () => this.follower.unconfirmedMs);
+    this.metrics.gauge(
+      'shedline_control_silence_milliseconds',
+      () => this.follower.controlSilenceMs,
+    );
+    this.metrics.gauge('shedline_state_age_milliseconds', () => this.follower.stateAgeMs);
     this.metrics.gauge('shedline_silent_control_processes', () => this.core.mesh.silentCore.length);
   }
 
-  /** What was under way at the earlier run of an endpoint is lost. */
-  private endpointRestarted(address: string, goneForMs: number): void {
-    const lostSends = this.sender.loseUnheard(address, performance.now() - goneForMs);
-    this.logger.info('endpoint has started again', { step: 'endpoint', peer: address, lostSends });
+  /** Fails the requests that were in progress at the previous incarnation of an endpoint. */
+  private onEndpointRestarted(address: string, heartbeatAgeMs: number): void {
+    const lostSends = this.sender.loseUnheard(address, performance.now() - heartbeatAgeMs);
+    this.logger.info('endpoint restarted', { step: 'endpoint', peer: address, lostSends });
   }
 
-  /** The entry that runs batch work at the endpoint makes room there. */
-  private wantSlot(endpointId: string): void {
-    const owner = this.runner.ownerOf(endpointId);
-    if (owner === undefined || owner === this.core.name) this.runner.slotWanted(endpointId);
-    else this.entries.send(owner, 'slotWanted', endpointId);
+  /** Asks the entry that runs batch work at the endpoint to free a slot. */
+  private requestSlot(endpointId: string): void {
+    const owner = this.itemRunner.ownerOf(endpointId);
+    if (owner === undefined || owner === this.core.name) this.itemRunner.yieldSlot(endpointId);
+    else this.entryConnections.send(owner, 'slotWanted', endpointId);
   }
 
   private onMessage(method: string, payload: unknown, from: string): void {
-    if (method === 'fleetNews') this.follower.takePushed(payload as FleetDelta, from);
-    if (method === 'heartbeats') this.follower.takeHeartbeats(payload as AgedHeartbeat[]);
-    if (method === 'loads') this.pool.hearLoads(from, payload as LoadCount[]);
-    if (method === 'slotWanted') this.runner.slotWanted(payload as string);
-    if (method === 'quotaNear') this.quotas.hearNear(payload as string[]);
+    if (method === 'fleetNews') this.follower.handleDelta(payload as FleetDelta, from);
+    if (method === 'heartbeats') this.follower.handleHeartbeats(payload as AgedHeartbeat[]);
+    if (method === 'loads') this.pool.observePeerLoads(from, payload as LoadCount[]);
+    if (method === 'slotWanted') this.itemRunner.yieldSlot(payload as string);
+    if (method === 'quotaNear') this.quotas.markNearLimit(payload as string[]);
   }
 
-  /** Entries that take callers, and this one in any case. */
+  /** Entries that accept callers; always includes this one. */
   private servingEntries(): ZonedName[] {
     const { mesh } = this.core;
     const { self } = mesh;
@@ -466,29 +475,31 @@
     return [...others, self].map(({ name, availabilityZone }) => ({ name, availabilityZone }));
   }
 
-  /** Called 2.5 times a second and more; a list without changes is the same object as before. */
-  private membersChanged(): void {
+  /** Called at least 2.5 times per second; an unchanged list is the same object as before. */
+  private onMembersChange(): void {
     const entries = this.core.mesh.live('entry');
     const stores = this.core.mesh.live('store');
-    if (entries !== this.seenEntries) this.subsetRefresh.ask();
-    if (stores !== this.seenStores) this.storeLinks.update();
-    this.seenEntries = entries;
-    this.seenStores = stores;
+    if (entries !== this.lastEntries) this.subsetRefresh.schedule();
+    if (stores !== this.lastStores) this.storeConnections.update();
+    this.lastEntries = entries;
+    this.lastStores = stores;
     if (this.isReady && this.core.mesh.self.state === 'starting') this.core.mesh.setState('ready');
   }
 
-  /** Keeps connections to the entries that share endpoints with this one. */
-  private refreshSubset(): void {
+  /**
+   * Recomputes the subsets and connects to exactly the entries that share endpoints with this one.
+   */
+  private refreshSubsets(): void {
     this.subsetTracker.refresh();
     const peers = new Set(this.subsetTracker.peers);
     const sharing = this.core.mesh.live('entry').filter((entry) => peers.has(entry.name));
-    this.entries.keepOnly(sharing);
+    this.entryConnections.keepOnly(sharing);
   }
 
   private sweep(): void {
-    this.subsetRefresh.ask();
-    this.endWatch.sweep();
-    this.storeLinks.update();
+    this.subsetRefresh.schedule();
+    this.crashDetector.sweep();
+    this.storeConnections.update();
     const inUse = this.pool.sweep();
     for (const address of this.sender.addresses) {
       if (!inUse.has(address)) this.sender.forget(address);
--- a/packages/gateway/src/index.ts
+++ b/packages/gateway/src/index.ts
@@ -1,8 +1,8 @@
 /**
- * The entry of a fleet that finds its members itself.
+ * Library of the entry process of a fleet with automatic member discovery.
  */
 export * from './gateway-process.js';
-export * from './request-intake.js';
+export * from './request-handler.js';
 export * from './job-service.js';
-export * from './key-check.js';
+export * from './api-key-authenticator.js';
 export * from './endpoint-pool.js';
--- a/packages/gateway/src/item-run.ts
+++ b/packages/gateway/src/item-run.ts
@@ -1,5 +1,5 @@
 /**
- * One run of one item at one endpoint.
+ * One execution attempt of a batch item at one endpoint.
  */
 import type { GrantedItem } from '@shedline/fleet-control';
 import { dataOf } from '@shedline/forwarding';
@@ -13,14 +13,14 @@
 import type { ItemProgress, ItemRef } from '@shedline/whole-jobs';
 
 /**
- * Silence after which an item goes on elsewhere. A free slot begins to answer within a tenth of a
- * second; what is lost is what the endpoint made and did not send.
+ * Time without data after which a run is aborted, to be resumed at another endpoint. A free slot
+ * responds within 0.1 s; output that the endpoint has generated but not sent is lost.
  */
 const SILENCE_LIMIT_MS = 1500;
 
 /** Options of {@link ItemRun}. */
 export interface ItemRunOptions {
-  /** Number of the run in this process. */
+  /** Sequence number of the run in this process. */
   readonly runNumber: number;
   readonly group: number;
   readonly granted: GrantedItem;
@@ -30,11 +30,11 @@
   readonly sender: RequestSender;
   readonly protocol: EndpointProtocol;
   readonly nowMs: () => number;
-  /** Called once, when the endpoint begins to answer. */
-  readonly onBegun?: () => void;
+  /** Called once, with the first part of the response. */
+  readonly onFirstEvent?: () => void;
 }
 
-/** An item under way; it goes on from what earlier runs of the item brought. */
+/** A running item; resumes from the progress of previous runs. */
 export class ItemRun {
   readonly runNumber: number;
   readonly group: number;
@@ -44,7 +44,7 @@
   readonly address: string;
   readonly startedAtMs: number;
   readonly result: Promise<SendResult>;
-  /** Whether the whole item was made by this run. */
+  /** Whether this run started from the beginning, not from the progress of previous runs. */
   readonly isWhole: boolean;
   private readonly sending: RunningSend;
   private readonly pieces: string[];
@@ -79,7 +79,7 @@
       {
         onHead: () => undefined,
         onPart: (bytes, event) => {
-          if (!this.hasBegun) options.onBegun?.();
+          if (!this.hasBegun) options.onFirstEvent?.();
           this.hasBegun = true;
           this.pieces.push(event === undefined ? bytes.toString('utf8') : dataOf(event));
           if (event?.id !== undefined) this.lastEventId = event.id;
@@ -90,23 +90,23 @@
     this.result = this.sending.result;
   }
 
-  /** Events so far, those of earlier runs included. */
+  /** Number of events received, including previous runs. */
   get eventCount(): number {
     return this.pieces.length;
   }
 
-  /** Text of the item so far. */
+  /** Text received, including previous runs. */
   get text(): string {
     return this.pieces.join('\n');
   }
 
-  /** How far the item got; undefined where it cannot go on from there. */
+  /** Progress from which another run can resume; undefined if the item cannot be resumed. */
   get progress(): ItemProgress | undefined {
     const { pieces, lastEventId } = this;
     return lastEventId === undefined ? undefined : { pieces, lastEventId };
   }
 
-  /** Breaks the run off. */
+  /** Aborts the run. */
   stop(): void {
     this.sending.stop();
   }
--- a/packages/gateway/src/item-runner.test.ts
+++ b/packages/gateway/src/item-runner.test.ts
@@ -37,7 +37,7 @@
   jobs: { resultsDueMs: 18_000, keepItemsMs: 60_000, maxWaitingTokens: 0 },
 } as const;
 
-/** Stores with one group, in memory. */
+/** In-memory stores with one group. */
 class FakeStores implements GroupCaller {
   readonly jobs = new WholeJobs(new MemoryItemFiles());
   readonly returned: ReturnedItem[] = [];
@@ -77,10 +77,10 @@
 
   call(method: string, _group: number, payload: unknown): Promise<unknown> {
     const { body } = payload as { body: never };
-    return Promise.resolve(this.answer(method, body));
+    return Promise.resolve(this.handle(method, body));
   }
 
-  private answer(method: string, body: unknown): unknown {
+  private handle(method: string, body: unknown): unknown {
     const request = body as ItemRequest & { refs: ItemRef[] };
     if (method === 'grantItems') {
       const time = { nowMs: this.nowMs(), wallMs: this.nowMs() };
@@ -99,25 +99,25 @@
     }
     this.logIndex += 1;
     const command = { ...(body as CommitRuns), type: 'commitRuns' as const, atMs: this.nowMs() };
-    const answer = this.jobs.apply(command, this.logIndex);
+    const result = this.jobs.apply(command, this.logIndex);
     this.dispenser.release(command.holder, [...command.failed, ...command.returned]);
     this.returned.push(...command.returned);
-    return answer;
+    return result;
   }
 }
 
-/** Endpoints that answer as the test says. */
+/** Sender with scripted results. */
 class FakeSender implements RequestSender {
-  sends = 0;
-  private readonly answer: (itemId: string) => SendResult;
+  attempts = 0;
+  private readonly resultOf: (itemId: string) => SendResult;
 
-  constructor(answer: (itemId: string) => SendResult) {
-    this.answer = answer;
+  constructor(resultOf: (itemId: string) => SendResult) {
+    this.resultOf = resultOf;
   }
 
   send(send: { readonly requestId: string }): RunningSend {
-    this.sends += 1;
-    const result = pause(5).then(() => this.answer(send.requestId));
+    this.attempts += 1;
+    const result = pause(5).then(() => this.resultOf(send.requestId));
     return { result, stop: () => undefined, resume: () => undefined };
   }
 }
@@ -136,7 +136,7 @@
   readHead: (status) => ({ ...HEAD, status }),
 };
 
-function createRunner(stores: FakeStores, sender: RequestSender, hasEnded = false): ItemRunner {
+function createRunner(stores: FakeStores, sender: RequestSender, hasCrashed = false): ItemRunner {
   const nowMs = (): number => performance.now();
   const fleet = new KnownFleet();
   fleet.take({
@@ -163,7 +163,7 @@
     onLoadChange: () => undefined,
     onSlotWanted: () => undefined,
     onSilence: () => undefined,
-    onRunGone: () => undefined,
+    onRunReplaced: () => undefined,
   });
   const heartbeat = {
     endpointId: 'e1',
@@ -175,14 +175,14 @@
     warmUpLeftMs: 0,
     sequence: 1,
   };
-  pool.hear([{ heartbeat, ageMs: 0 }]);
+  pool.observeHeartbeats([{ heartbeat, ageMs: 0 }]);
   return new ItemRunner({
     holder: HOLDER,
     self: 'entry',
     stores,
     fleet,
     pool,
-    endWatch: { hasEnded: () => Promise.resolve(hasEnded) },
+    crashDetector: { hasCrashed: () => Promise.resolve(hasCrashed) },
     sender,
     protocol: PROTOCOL,
     logger: createLogger({ level: 'silent' }),
@@ -192,13 +192,13 @@
   });
 }
 
-async function untilClosed(stores: FakeStores): Promise<void> {
+async function untilJobEnds(stores: FakeStores): Promise<void> {
   while (stores.jobs.get('job')?.isOpen === true) await pause(10);
 }
 
 describe('item runner', () => {
   test(
-    title('hands an item back that its endpoint broke off, with what it made so far'),
+    title('returns an item with its progress if the response of its endpoint breaks'),
     async (t) => {
       const stores = new FakeStores(() => performance.now());
       const sender: RequestSender = {
@@ -222,7 +222,7 @@
     },
   );
 
-  test(title('gives an item up after as many failed runs as the route allows'), async (t) => {
+  test(title('fails an item after as many failed runs as the route allows'), async (t) => {
     const stores = new FakeStores(() => performance.now());
     const sender = new FakeSender(() => ({
       kind: 'failure',
@@ -232,31 +232,31 @@
     const runner = createRunner(stores, sender);
     stores.submit(['a']);
     runner.start();
-    await untilClosed(stores);
+    await untilJobEnds(stores);
     await runner.drain();
-    t.is(sender.sends, MAX_ATTEMPTS);
+    t.is(sender.attempts, MAX_ATTEMPTS);
     t.deepEqual(stores.jobs.results('job', 0, 1000)?.results, [
       { itemId: 'a', state: 'errored', text: '' },
     ]);
   });
 
-  test(title('gives an item up under which three endpoints ended, with the reason'), async (t) => {
+  test(title('fails an item with the reason after three endpoint crashes'), async (t) => {
     const stores = new FakeStores(() => performance.now() * 20);
     const outcome = { kind: 'lost', reason: 'reset' } as const;
     const sender = new FakeSender(() => ({ kind: 'ended', outcome }));
     const runner = createRunner(stores, sender, true);
     stores.submit(['a']);
     runner.start();
-    await untilClosed(stores);
+    await untilJobEnds(stores);
     await runner.drain();
-    t.is(sender.sends, 3);
+    t.is(sender.attempts, 3);
     const text = 'given up: 3 endpoints ended while they ran it';
     t.deepEqual(stores.jobs.results('job', 0, 1000)?.results, [
       { itemId: 'a', state: 'errored', text },
     ]);
   });
 
-  test(title('runs an item that can never be done once'), async (t) => {
+  test(title('runs an item that cannot succeed only once'), async (t) => {
     const stores = new FakeStores(() => performance.now());
     const sender = new FakeSender(() => ({
       kind: 'failure',
@@ -266,8 +266,8 @@
     const runner = createRunner(stores, sender);
     stores.submit(['a', 'b']);
     runner.start();
-    await untilClosed(stores);
+    await untilJobEnds(stores);
     await runner.drain();
-    t.is(sender.sends, 2);
+    t.is(sender.attempts, 2);
   });
 });
--- a/packages/gateway/src/item-runner.ts
+++ b/packages/gateway/src/item-runner.ts
@@ -1,7 +1,7 @@
 /**
- * Runs the items of batch jobs in the slots that online work leaves. Each endpoint has one entry
- * that runs batch work there; it stops items at once when online work wants their slots, and
- * hands them back with what they made so far, so that any entry can go on with them.
+ * Runs the items of batch jobs in slots that online requests leave free. Each endpoint is owned by
+ * one entry, which alone runs batch work there. It stops items as soon as online requests need
+ * their slots, and returns them with their progress so that any entry can resume them.
  */
 import { BatchOwnership, RecentPeak, chooseStreamsToStop, spareSlots } from '@shedline/batch';
 import type { GroupCaller } from '@shedline/control-client';
@@ -12,70 +12,79 @@
 import type { Logger } from '@shedline/logger';
 import type { SlotCandidate } from '@shedline/routing';
 import type { ItemRef, ReturnedItem } from '@shedline/whole-jobs';
-import type { EndWatch } from './end-watch.js';
+import type { CrashDetector } from './crash-detector.js';
 import type { EndpointPool } from './endpoint-pool.js';
 import { ItemRun } from './item-run.js';
 import { jobGroupOf, routeKeyOf } from './job-service.js';
 import { RunReporter } from './run-reporter.js';
 
-/** Time between looks at the slots. */
-const TICK_MS = 40;
-/** Time between requests for items while some wait, and while none do, in a small fleet. */
-const ASK_INTERVAL_MS = 60;
-const IDLE_ASK_INTERVAL_MS = 200;
+/** Time between two checks of the free slots. */
+const SLOT_CHECK_INTERVAL_MS = 40;
 /**
- * Entries with batch work up to which each asks that often; with more all together do not ask more. Counting all
- * entries, 165 with 52 endpoints, a slot that was free waited 0.6 s for its next item.
+ * Time between requests for items in a small fleet: while items are waiting, and while none are.
  */
-const ENTRIES_ASKING_AT_FULL_RATE = 16;
-const ASK_TIMEOUT_MS = 1000;
+const GRANT_INTERVAL_MS = 60;
+const IDLE_GRANT_INTERVAL_MS = 200;
+/**
+ * Number of entries with batch work up to which each sends requests at the full rate; with more,
+ * the total rate stays constant. Only entries that can own an endpoint count: when all of 165
+ * entries with 52 endpoints did, a free slot waited 0.6 s for its next item.
+ */
+const ENTRIES_AT_FULL_GRANT_RATE = 16;
+const GRANT_TIMEOUT_MS = 1000;
 const RENEW_INTERVAL_MS = 1000;
 const RENEW_TIMEOUT_MS = 1500;
-/** Two owners at once for this long only fill an endpoint's queue; no item runs twice by it. */
+/**
+ * Wait before this entry takes over an endpoint from its previous owner. Two owners at a time would
+ * only overfill the endpoint's queue, since an item is leased to one entry.
+ */
 const TAKEOVER_WAIT_MS = 400;
-/** Slots left free for online requests: none, since an item yields its slot within a few ms. */
+/**
+ * Slots kept free for online requests: none, since a batch item yields its slot within a few ms.
+ */
 const RESERVED_SLOTS = 0;
-/** A slot must have been free for this long before an item starts in it. */
-const START_AFTER_MS = 200;
-/** Time that a whole item is taken to need before one was seen. */
-const FIRST_RUN_MS = 5000;
-/** Events that a whole item is taken to have before one was seen. */
-const FIRST_RUN_EVENTS = 200;
-/** Weight of the newest whole run in the time that items are taken to need. */
+/** Minimum time for which a slot has been free before an item starts in it. */
+const SLOT_FREE_BEFORE_START_MS = 200;
+/** Assumed duration of a complete item before one was observed. */
+const INITIAL_RUN_MS = 5000;
+/** Assumed number of events of a complete item before one was observed. */
+const INITIAL_RUN_EVENTS = 200;
+/** Weight of the newest run in the moving averages of duration and number of events. */
 const RUN_SMOOTHING = 0.2;
-const CANNOT_BE_DONE_STATUS = 422;
+/** Status of an item that cannot succeed at any endpoint. */
+const UNPROCESSABLE_STATUS = 422;
 
 /** Options of {@link ItemRunner}. */
 export interface ItemRunnerOptions {
-  /** Name of this run of the entry; holds items under it. */
+  /** Name of this incarnation of the entry, under which it leases items. */
   readonly holder: string;
   readonly self: string;
   readonly stores: GroupCaller;
   readonly fleet: KnownFleet;
   readonly pool: EndpointPool;
-  readonly endWatch: Pick<EndWatch, 'hasEnded'>;
+  readonly crashDetector: Pick<CrashDetector, 'hasCrashed'>;
   readonly sender: RequestSender;
   readonly protocol: EndpointProtocol;
   readonly logger: Logger;
   readonly nowMs: () => number;
-  /** Names of the entries that may run batch work at an endpoint. */
+  /** Returns the names of the entries that may run batch work at an endpoint. */
   readonly usersOf: (endpointId: string) => readonly string[];
-  /** Entries that run batch work, this one included. */
+  /** Number of entries that run batch work, including this one. */
   readonly entryCount: () => number;
 }
 
-/** What is known of the jobs of one route. */
+/** State of the item requests of one route. */
 interface RouteState {
-  askedAtMs: number;
-  isAsking: boolean;
+  lastRequestEndedAtMs: number;
+  isRequesting: boolean;
   waitingItems: number;
-  /** Time that a whole item takes. */
+  /** Moving average of the duration of a complete item. */
   runMs: number;
-  /** Events of a whole item. */
+  /** Moving average of the number of events of an item. */
   runEvents: number;
 }
 
-/** Items under way at this entry. */
+/** Requests items from the stores and runs them. */
 export class ItemRunner {
   private readonly options: ItemRunnerOptions;
   private readonly ownership: BatchOwnership;
@@ -83,12 +92,14 @@
   private readonly runs = new Map<string, ItemRun>();
   private readonly routes = new Map<string, RouteState>();
   private readonly peaks = new Map<string, RecentPeak>();
-  /** Looks whether an endpoint has ended under an item, until that is handed back. */
-  private readonly looks = new Set<Promise<void>>();
+  /**
+   * Pending checks for a crash of the endpoint that ran an item; each ends by returning the item.
+   */
+  private readonly crashChecks = new Set<Promise<void>>();
   private timers: NodeJS.Timeout[] = [];
-  private draining = false;
-  /** Runs begun by this process; an item may come here more than once, its runs stay apart. */
-  private runsBegun = 0;
+  private isDraining = false;
+  /** Number of runs started by this process, which distinguishes several runs of an item. */
+  private startedRunCount = 0;
 
   constructor(options: ItemRunnerOptions) {
     this.options = options;
@@ -96,72 +107,72 @@
     this.reporter = new RunReporter(options);
   }
 
-  /** Items that run here. */
+  /** Number of items that are running at this entry. */
   get runningCount(): number {
     return this.runs.size;
   }
 
-  /** Starts. */
+  /** Starts the checks of free slots and the renewal of item leases. */
   start(): void {
     this.timers = [
       setInterval(() => {
-        this.tick();
-      }, TICK_MS),
+        this.checkSlots();
+      }, SLOT_CHECK_INTERVAL_MS),
       setInterval(() => {
         this.renew();
       }, RENEW_INTERVAL_MS),
     ];
   }
 
-  /** Stops all items and hands them back; results that are done are still reported. */
+  /** Stops all items and returns them; resolves when results and returned items are reported. */
   async drain(): Promise<void> {
-    this.draining = true;
+    this.isDraining = true;
     for (const timer of this.timers) clearInterval(timer);
     const runs = [...this.runs.values()];
     this.runs.clear();
     for (const run of runs) run.stop();
-    for (const run of runs) this.reporter.returned(run.group, [returned(run)]);
-    await Promise.all(this.looks);
+    for (const run of runs) this.reporter.reportReturned(run.group, [returned(run)]);
+    await Promise.all(this.crashChecks);
     await this.reporter.flush();
   }
 
-  /** Ends at once, whatever has not been handed back or reported. */
+  /** Stops at once; what has not been returned or reported yet is abandoned. */
   close(): void {
     for (const timer of this.timers) clearInterval(timer);
     this.reporter.close();
   }
 
-  /** Makes room at an endpoint where an online request wants a slot. */
-  slotWanted(endpointId: string): void {
+  /** Stops an item at an endpoint where an online request needs its slot. */
+  yieldSlot(endpointId: string): void {
     this.stopExcess(endpointId, this.runsAt(endpointId).length - 1);
   }
 
-  /** Stops the items of a job that was ended. */
-  jobEnded(jobId: string): void {
+  /** Stops the items of a job that has ended. */
+  stopJob(jobId: string): void {
     for (const run of this.runs.values()) {
-      if (run.ref.jobId === jobId) this.drop(run, 'job ended');
+      if (run.ref.jobId === jobId) this.dropRun(run, 'job ended');
     }
   }
 
-  /** The entry that runs batch work at an endpoint. */
+  /** Returns the entry that runs batch work at an endpoint. */
   ownerOf(endpointId: string): string | undefined {
     return this.ownership.ownerOf(endpointId);
   }
 
-  private tick(): void {
+  private checkSlots(): void {
     const routes = this.options.fleet.routes?.configuration.routes ?? [];
     for (const route of routes) {
-      if (route.kind === 'jobs') this.serveRoute(route);
+      if (route.kind === 'jobs') this.fillSlots(route);
     }
   }
 
-  private serveRoute(route: Route): void {
+  private fillSlots(route: Route): void {
     const free = this.freeSlots(route);
     const wanted = [...free.values()].reduce((sum, count) => sum + count, 0);
-    if (wanted > 0) void this.ask(route, wanted);
+    if (wanted > 0) void this.requestItems(route, wanted);
   }
 
-  /** Free slots at the endpoints that this entry owns; stops items where there are too many. */
+  /** Returns the free slots of owned endpoints, and stops items where too many are running. */
   private freeSlots(route: Route): Map<string, number> {
     const nowMs = this.options.nowMs();
     const usable = this.usableFor(route);
@@ -184,9 +195,9 @@
   private peakOf(endpointId: string): RecentPeak {
     const known = this.peaks.get(endpointId);
     if (known !== undefined) return known;
-    const fresh = new RecentPeak({ windowMs: START_AFTER_MS });
-    this.peaks.set(endpointId, fresh);
-    return fresh;
+    const created = new RecentPeak({ windowMs: SLOT_FREE_BEFORE_START_MS });
+    this.peaks.set(endpointId, created);
+    return created;
   }
 
   private usableFor(route: Route): SlotCandidate[] {
@@ -214,99 +225,101 @@
     const key = routeKeyOf(route);
     const known = this.routes.get(key);
     if (known !== undefined) return known;
-    const fresh = {
-      askedAtMs: -Infinity,
-      isAsking: false,
+    const initial = {
+      lastRequestEndedAtMs: -Infinity,
+      isRequesting: false,
       waitingItems: 0,
-      runMs: FIRST_RUN_MS,
-      runEvents: FIRST_RUN_EVENTS,
+      runMs: INITIAL_RUN_MS,
+      runEvents: INITIAL_RUN_EVENTS,
     };
-    this.routes.set(key, fresh);
-    return fresh;
+    this.routes.set(key, initial);
+    return initial;
   }
 
-  private async ask(route: Route, maxItems: number): Promise<void> {
+  private async requestItems(route: Route, maxItems: number): Promise<void> {
     const { stores, fleet, holder, logger, nowMs } = this.options;
     const state = this.stateOf(route);
-    const isEarly = nowMs() - state.askedAtMs < this.askIntervalMs(state);
-    if (isEarly || state.isAsking || this.draining || fleet.storeCluster === undefined) return;
+    const isEarly = nowMs() - state.lastRequestEndedAtMs < this.grantIntervalMs(state);
+    if (isEarly || state.isRequesting || this.isDraining || fleet.storeCluster === undefined)
+      return;
     const group = jobGroupOf(route.host, fleet.storeCluster.jobGroupCount);
     const { runMs, runEvents } = state;
     const body = { holder, routeKey: routeKeyOf(route), maxItems, runMs, runEvents };
-    state.isAsking = true;
+    state.isRequesting = true;
     try {
-      const raw = await stores.call('grantItems', group, { group, body }, ASK_TIMEOUT_MS);
-      const answer = raw as GrantAnswer;
-      state.waitingItems = answer.waitingItems;
-      this.startAll(group, answer.items, route);
+      const raw = await stores.call('grantItems', group, { group, body }, GRANT_TIMEOUT_MS);
+      const grant = raw as GrantAnswer;
+      state.waitingItems = grant.waitingItems;
+      this.startGranted(group, grant.items, route);
     } catch (error) {
       const reason = error instanceof Error ? error.message : String(error);
       logger.debug('no items granted', { step: 'grant', group, reason });
     } finally {
-      state.isAsking = false;
-      state.askedAtMs = nowMs();
+      state.isRequesting = false;
+      state.lastRequestEndedAtMs = nowMs();
     }
   }
 
-  private askIntervalMs({ waitingItems }: RouteState): number {
-    const intervalMs = waitingItems > 0 ? ASK_INTERVAL_MS : IDLE_ASK_INTERVAL_MS;
-    return intervalMs * Math.max(1, this.options.entryCount() / ENTRIES_ASKING_AT_FULL_RATE);
+  private grantIntervalMs({ waitingItems }: RouteState): number {
+    const intervalMs = waitingItems > 0 ? GRANT_INTERVAL_MS : IDLE_GRANT_INTERVAL_MS;
+    return intervalMs * Math.max(1, this.options.entryCount() / ENTRIES_AT_FULL_GRANT_RATE);
   }
 
-  /** Starts what was granted where there is still room; the rest goes back. */
-  private startAll(group: number, items: readonly GrantedItem[], route: Route): void {
-    const free = this.draining ? new Map<string, number>() : this.freeSlots(route);
-    const left = [...items];
+  /** Starts the granted items in the slots that are still free; returns the rest to the stores. */
+  private startGranted(group: number, items: readonly GrantedItem[], route: Route): void {
+    const free = this.isDraining ? new Map<string, number>() : this.freeSlots(route);
+    const remaining = [...items];
     for (const [endpointId, count] of free) {
-      for (const granted of left.splice(0, count)) this.startRun(group, granted, endpointId, route);
+      for (const granted of remaining.splice(0, count))
+        this.startRun(group, granted, endpointId, route);
     }
-    if (left.length > 0) this.reporter.returned(group, left.map(notStarted));
+    if (remaining.length > 0) this.reporter.reportReturned(group, remaining.map(notStarted));
   }
 
   private startRun(group: number, granted: GrantedItem, endpointId: string, route: Route): void {
     const { pool, sender, protocol, nowMs } = this.options;
     const address = pool.addressOf(endpointId);
     if (address === undefined) {
-      this.reporter.returned(group, [notStarted(granted)]);
+      this.reporter.reportReturned(group, [notStarted(granted)]);
       return;
     }
-    this.runsBegun += 1;
-    const runNumber = this.runsBegun;
-    const onBegun = (): void => {
+    this.startedRunCount += 1;
+    const runNumber = this.startedRunCount;
+    const onFirstEvent = (): void => {
       pool.answers(endpointId);
     };
-    const target = { endpointId, address, sender, protocol, nowMs, onBegun };
+    const target = { endpointId, address, sender, protocol, nowMs, onFirstEvent };
     const run = new ItemRun({ runNumber, group, granted, ...target });
     this.runs.set(keyOf(run.ref), run);
     pool.batchChange(endpointId, 1);
     void run.result.then((result) => {
-      this.runEnded(run, result, route);
+      this.onRunEnded(run, result, route);
     });
   }
 
-  private runEnded(run: ItemRun, result: SendResult, route: Route): void {
+  private onRunEnded(run: ItemRun, result: SendResult, route: Route): void {
     const { pool } = this.options;
     pool.batchChange(run.endpointId, -1);
-    pool.judge(run.endpointId, result, undefined);
-    this.logEnd(run, result);
+    pool.recordOutcome(run.endpointId, result, undefined);
+    this.logRunEnd(run, result);
     if (this.runs.get(keyOf(run.ref)) !== run) return;
     this.runs.delete(keyOf(run.ref));
     if (result.kind === 'complete') {
-      this.noteRunTime(run, route);
-      this.reporter.finished(run.group, { ...run.ref, state: 'complete', text: run.text });
-    } else if (result.kind === 'failure' && result.head.status === CANNOT_BE_DONE_STATUS) {
-      this.reporter.finished(run.group, { ...run.ref, state: 'errored', text: '' });
+      this.updateRunEstimates(run, route);
+      this.reporter.reportFinished(run.group, { ...run.ref, state: 'complete', text: run.text });
+    } else if (result.kind === 'failure' && result.head.status === UNPROCESSABLE_STATUS) {
+      this.reporter.reportFinished(run.group, { ...run.ref, state: 'errored', text: '' });
     } else if (result.kind === 'failure') {
-      this.reporter.failed(run.group, { ...run.ref, runId: this.runIdOf(run) });
+      this.reporter.reportFailed(run.group, { ...run.ref, runId: this.runIdOf(run) });
     } else if (isBroken(result)) {
-      this.handBackBroken(run);
+      this.returnBroken(run);
     } else {
-      this.reporter.returned(run.group, [returned(run)]);
+      this.reporter.reportReturned(run.group, [returned(run)]);
     }
-    this.tick();
+    this.checkSlots();
   }
 
-  private noteRunTime(run: ItemRun, route: Route): void {
+  private updateRunEstimates(run: ItemRun, route: Route): void {
     const state = this.stateOf(route);
     state.runEvents += RUN_SMOOTHING * (run.eventCount - state.runEvents);
     if (!run.isWhole) return;
@@ -318,17 +331,19 @@
     return `${this.options.holder}/${keyOf(run.ref)}/${run.runNumber}`;
   }
 
-  /** The stores count the ends of endpoints under an item, and hand it out again unless there were too many. */
-  private handBackBroken(run: ItemRun): void {
-    const look = this.options.endWatch.hasEnded(run.endpointId, run.address).then((hasEnded) => {
-      if (hasEnded) this.reporter.crashed(run.group, returned(run), this.runIdOf(run));
-      else this.reporter.returned(run.group, [returned(run)]);
-      this.looks.delete(look);
-    });
-    this.looks.add(look);
+  /** Returns an item whose run broke; the stores count endpoint crashes by item, and limit them. */
+  private returnBroken(run: ItemRun): void {
+    const check = this.options.crashDetector
+      .hasCrashed(run.endpointId, run.address)
+      .then((hasCrashed) => {
+        if (hasCrashed) this.reporter.reportCrashed(run.group, returned(run), this.runIdOf(run));
+        else this.reporter.reportReturned(run.group, [returned(run)]);
+        this.crashChecks.delete(check);
+      });
+    this.crashChecks.add(check);
   }
 
-  private drop(run: ItemRun, reason: string): void {
+  private dropRun(run: ItemRun, reason: string): void {
     this.runs.delete(keyOf(run.ref));
     run.stop();
     const { jobId, index } = run.ref;
@@ -348,7 +363,8 @@
       const lost = new Set((raw as ItemRef[]).map(keyOf));
       for (const run of runs) {
         const isCurrent = this.runs.get(keyOf(run.ref)) === run;
-        if (isCurrent && lost.has(keyOf(run.ref))) this.drop(run, 'over, or held by another entry');
+        if (isCurrent && lost.has(keyOf(run.ref)))
+          this.dropRun(run, 'over, or held by another entry');
       }
     } catch (error) {
       const reason = error instanceof Error ? error.message : String(error);
@@ -356,7 +372,7 @@
     }
   }
 
-  /** One line a second while there is batch work, so that idle slots can be explained. */
+  /** Logs the state once a second while items are running, so that idle slots can be explained. */
   private logState(): void {
     if (this.runs.size === 0) return;
     this.options.logger.info('batch work', {
@@ -367,7 +383,7 @@
     });
   }
 
-  private logEnd(run: ItemRun, result: SendResult): void {
+  private logRunEnd(run: ItemRun, result: SendResult): void {
     const outcome = result.kind === 'ended' ? result.outcome.kind : result.kind;
     const { jobId, index } = run.ref;
     this.options.logger.info('item run ended', {
--- a/packages/gateway/src/job-service.ts
+++ b/packages/gateway/src/job-service.ts
@@ -1,5 +1,5 @@
 /**
- * Takes batch jobs from callers and answers questions about them, through the stores.
+ * Submits callers' batch jobs to the stores, and reads and cancels them there.
  */
 import type { GroupCaller } from '@shedline/control-client';
 import { ShedlineError, toShedlineError } from '@shedline/errors';
@@ -10,37 +10,37 @@
 import { groupOf } from '@shedline/types';
 import type { EndAnswer, SubmitAnswer, SubmittedItem } from '@shedline/whole-jobs';
 
-/** Most items of one job. */
+/** Maximum number of items in one job. */
 const MAX_ITEMS = 200;
-/** Largest page of results. Bytes. */
-const MAX_PAGE_BYTES = 900_000;
-/** Readers and callers that end a job wait longer than this for an answer. */
+/** Maximum size of one page of results. */
+const MAX_RESULTS_BYTES = 900_000;
+/** Timeout of calls to the stores; readers, and callers that end a job, wait longer than this. */
 const CALL_TIMEOUT_MS = 1800;
-/** Time of a submission that is left for the answer to travel. */
-const SUBMIT_MARGIN_MS = 300;
+/** Part of a caller's remaining time that is reserved for sending it the reply to a submission. */
+const SUBMIT_REPLY_MARGIN_MS = 300;
 
-/** A job as a caller names it: the same id means another job in another workspace. */
+/** Identifies a job of a caller; job ids are unique within a workspace. */
 export interface JobName {
   readonly host: string;
   readonly jobId: string;
-  /** Workspace of the caller; undefined where no key is asked for. */
+  /** Workspace of the caller; undefined if the route requires no API key. */
   readonly workspace: string | undefined;
 }
 
-/** A job as a caller hands it in. */
+/** A job as submitted by a caller. */
 export interface JobRequest extends JobName {
   readonly path: string;
   readonly items: readonly SubmittedItem[];
-  /** Time that the caller waits for the answer. */
+  /** Time for which the caller still waits for the reply. */
   readonly timeLeftMs: number;
 }
 
-/** What the caller of a submission hears. */
+/** Result of a submission. */
 export type SubmitOutcome =
   | { readonly kind: 'accepted' }
-  /** No part of it runs; it may come again later. */
+  /** No item of the job runs; it may be submitted again later. */
   | { readonly kind: 'refused'; readonly reason: 'quota' | 'unavailable' }
-  /** It is not known whether it was accepted; it must come again. */
+  /** Unknown whether the job was accepted; the caller must submit it again. */
   | { readonly kind: 'unknown' }
   | { readonly kind: 'invalid'; readonly message: string };
 
@@ -51,40 +51,43 @@
   readonly logger: Logger;
 }
 
-/** Names a route to the stores: entries ask for its items by it. */
+/** Returns the key of a route under which entries request its items from the stores. */
 export function routeKeyOf(route: Route): string {
   return `${route.host}${route.pathPrefix}`;
 }
 
-/** Names the jobs that share a bound on waiting tokens: those of a workspace on a route. */
+/** Returns the key of the jobs that share a limit on waiting tokens: a workspace's on a route. */
 function quotaKeyOf(route: Route, workspace: string | undefined): string {
   const key = routeKeyOf(route);
   return workspace === undefined ? key : `${encodeURIComponent(workspace)}@${key}`;
 }
 
 /**
- * Names a job to the stores. Whoever shows the key of another workspace asks for another name, and
- * so learns nothing, not even that the job exists.
+ * Returns the id of a job in the stores. It includes the workspace, so that a caller with the API
+ * key of another workspace cannot detect that the job exists.
  */
 export function storedJobId({ workspace, jobId }: Omit<JobName, 'host'>): string {
   return workspace === undefined ? jobId : `${encodeURIComponent(workspace)}/${jobId}`;
 }
 
-/** Jobs of one host are in one group, so that one leader keeps their bound exactly. */
+/**
+ * Returns the group of a host's jobs: a single one, so that one leader enforces their limits
+ * exactly.
+ */
 export function jobGroupOf(host: string, groupCount: number): number {
   return groupOf(`jobs|${hostName(host)}`, groupCount);
 }
 
-/** The groups that hold the jobs of the routes in force. */
+/** Returns the groups that hold the jobs of the current routes. */
 export function jobGroupsOf(fleet: KnownFleet): ReadonlySet<number> {
   const groupCount = fleet.storeCluster?.jobGroupCount ?? 0;
   const routes = fleet.routes?.configuration.routes ?? [];
   if (groupCount === 0) return new Set();
-  const taking = routes.filter(({ kind }) => kind === 'jobs');
-  return new Set(taking.map(({ host }) => jobGroupOf(host, groupCount)));
+  const jobRoutes = routes.filter(({ kind }) => kind === 'jobs');
+  return new Set(jobRoutes.map(({ host }) => jobGroupOf(host, groupCount)));
 }
 
-/** Jobs as callers see them. */
+/** Serves callers' calls on jobs. */
 export class JobService {
   private readonly options: JobServiceOptions;
 
@@ -92,7 +95,7 @@
     this.options = options;
   }
 
-  /** Hands a job to the stores; accepted means that a quorum of them has synced it. */
+  /** Submits a job to the stores; `accepted` means that a quorum of them has synced it to disk. */
   async submit(request: JobRequest, route: Route): Promise<SubmitOutcome> {
     const { host, path, items, workspace } = request;
     const jobId = storedJobId(request);
@@ -100,7 +103,7 @@
       return { kind: 'invalid', message: `a job has 1 to ${MAX_ITEMS} items` };
     }
     const rules = route.jobs;
-    if (rules === undefined) return { kind: 'invalid', message: 'the route takes no jobs' };
+    if (rules === undefined) return { kind: 'invalid', message: 'the route does not accept jobs' };
     const outcome = await this.propose(request, {
       jobId,
       host,
@@ -127,12 +130,12 @@
     return outcome;
   }
 
-  /** Results from a position on; undefined where there is no such job. */
+  /** Returns a page of results from a position on, after waiting up to `waitMs` for one. */
   async results(
     job: JobName,
     { position, waitMs }: { readonly position: number; readonly waitMs: number },
   ): Promise<ResultsAnswer> {
-    const body = { jobId: storedJobId(job), position, waitMs, maxBytes: MAX_PAGE_BYTES };
+    const body = { jobId: storedJobId(job), position, waitMs, maxBytes: MAX_RESULTS_BYTES };
     return (await this.call(
       'jobResults',
       job.host,
@@ -141,14 +144,14 @@
     )) as ResultsAnswer;
   }
 
-  /** Body of an item; undefined where there is none. */
+  /** Returns the body of an item; undefined if there is none. */
   async body(job: JobName, itemId: string): Promise<Uint8Array | undefined> {
     const body = { jobId: storedJobId(job), itemId };
     const answer = await this.call('itemBody', job.host, body, CALL_TIMEOUT_MS);
     return (answer as BodyAnswer).body;
   }
 
-  /** Ends a job. */
+  /** Ends a job at its caller's request. */
   async end(job: JobName): Promise<EndAnswer> {
     const body = { jobId: storedJobId(job) };
     const answer = (await this.call('endJob', job.host, body, CALL_TIMEOUT_MS)) as EndAnswer;
@@ -162,7 +165,7 @@
   }
 
   private async propose(request: JobRequest, body: object): Promise<SubmitOutcome> {
-    const timeoutMs = Math.max(100, request.timeLeftMs - SUBMIT_MARGIN_MS);
+    const timeoutMs = Math.max(100, request.timeLeftMs - SUBMIT_REPLY_MARGIN_MS);
     try {
       const answer = await this.call('submitJob', request.host, body, timeoutMs);
       const { outcome } = answer as SubmitAnswer;
--- a/packages/gateway/src/quota-enforcer.test.ts
+++ b/packages/gateway/src/quota-enforcer.test.ts
@@ -11,12 +11,12 @@
 const UNLIMITED = { name: 'free', keyDigests: [] };
 const VERSION = 3;
 
-/** A control process as the desk sees it. */
+/** A control process as seen by the enforcer. */
 class FakeCounter {
-  readonly asks: QuotaRequest[] = [];
+  readonly requests: QuotaRequest[] = [];
   readonly reports: UsageReport[] = [];
   granted = Infinity;
-  isSilent = false;
+  isUnresponsive = false;
   readonly peerName: string;
 
   constructor(peerName: string) {
@@ -29,9 +29,9 @@
 
   async request(_method: string, payload: unknown): Promise<QuotaAnswer> {
     const request = payload as QuotaRequest;
-    this.asks.push(request);
+    this.requests.push(request);
     await pause(5);
-    if (this.isSilent) throw new Error('no answer');
+    if (this.isUnresponsive) throw new Error('no reply');
     const granted = Math.min(request.wanted, this.granted);
     return { granted, roomInMs: 700, spacingMs: 100 };
   }
@@ -50,34 +50,34 @@
 }
 
 describe('QuotaEnforcer', () => {
-  test(title('lets requests pass at once and tells of them together'), async (t) => {
+  test(title('admits requests at once and reports them together'), async (t) => {
     const counter = new FakeCounter('a');
     const enforcer = setup(counter);
     for (let count = 0; count < 3; count += 1) {
-      t.deepEqual(await enforcer.enter(LIMITED, VERSION), { mayPass: true });
+      t.deepEqual(await enforcer.admit(LIMITED, VERSION), { mayPass: true });
     }
-    t.deepEqual(await enforcer.enter(UNLIMITED, VERSION), { mayPass: true });
-    enforcer.giveBack(LIMITED, VERSION);
+    t.deepEqual(await enforcer.admit(UNLIMITED, VERSION), { mayPass: true });
+    enforcer.refund(LIMITED, VERSION);
     await pause(100);
     const terms = { ...LIMITED.limit, version: VERSION };
     t.deepEqual(counter.reports, [{ workspace: 'w', terms, used: 2 }]);
-    t.is(counter.asks.length, 0);
+    t.is(counter.requests.length, 0);
   });
 
   test(
     title(
-      'asks once for all that come while a question is under way; each refused has its own time',
+      'sends one call for all requests that arrive during a call; spaces the retry times of refused ones',
     ),
     async (t) => {
       const counter = new FakeCounter('a');
       const enforcer = setup(counter);
-      enforcer.hearNear(['w']);
+      enforcer.markNearLimit(['w']);
       counter.granted = 1;
       const verdicts = await Promise.all(
-        [1, 2, 3, 4].map(async () => enforcer.enter(LIMITED, VERSION)),
+        [1, 2, 3, 4].map(async () => enforcer.admit(LIMITED, VERSION)),
       );
       t.deepEqual(
-        counter.asks.map(({ wanted }) => wanted),
+        counter.requests.map(({ wanted }) => wanted),
         [1, 3],
       );
       t.deepEqual(verdicts, [
@@ -90,31 +90,31 @@
   );
 
   test(
-    title('judges alone where a keeper does not answer, and asks another one then'),
+    title('decides locally if a counter does not reply, and asks another one next'),
     async (t) => {
       const first = new FakeCounter('a');
       const second = new FakeCounter('b');
       const enforcer = setup(first, second);
-      enforcer.hearNear(['w']);
-      first.isSilent = true;
-      second.isSilent = true;
-      const alone = await enforcer.enter(LIMITED, VERSION);
-      t.true(alone.mayPass, 'its part of the limit');
-      t.is(first.asks.length + second.asks.length, 1);
-      first.isSilent = false;
-      second.isSilent = false;
-      await enforcer.enter(LIMITED, VERSION);
-      t.deepEqual([first.asks.length, second.asks.length], [1, 1]);
+      enforcer.markNearLimit(['w']);
+      first.isUnresponsive = true;
+      second.isUnresponsive = true;
+      const local = await enforcer.admit(LIMITED, VERSION);
+      t.true(local.mayPass, 'within its share of the limit');
+      t.is(first.requests.length + second.requests.length, 1);
+      first.isUnresponsive = false;
+      second.isUnresponsive = false;
+      await enforcer.admit(LIMITED, VERSION);
+      t.deepEqual([first.requests.length, second.requests.length], [1, 1]);
     },
   );
 
   test(
-    title('without any keeper passes its part of the limit, and says 503 beyond it'),
+    title('admits its share of the limit without any counter, and refuses with 503 beyond it'),
     async (t) => {
       const enforcer = setup();
       const verdicts = [];
       for (let count = 0; count < 100; count += 1)
-        verdicts.push(await enforcer.enter(LIMITED, VERSION));
+        verdicts.push(await enforcer.admit(LIMITED, VERSION));
       const passed = verdicts.filter(({ mayPass }) => mayPass).length;
       t.true(passed >= 15 && passed <= 61, String(passed));
       t.deepEqual(verdicts.at(-1), { mayPass: false, status: 503, retryAfterMs: 300 });
--- a/packages/gateway/src/quota-enforcer.ts
+++ b/packages/gateway/src/quota-enforcer.ts
@@ -1,6 +1,7 @@
 /**
- * Keeps the requests of workspaces within their limits: lets them pass, asks the control process that keeps
- * the count of their workspace, or judges alone where none is reached.
+ * Enforces the rate limits of workspaces: admits requests at once far below the limit, otherwise
+ * asks the control process that counts the workspace's requests, or decides locally if none is
+ * reachable.
  */
 import type { Workspace } from '@shedline/fleet';
 import type { Logger } from '@shedline/logger';
@@ -11,27 +12,37 @@
 import { rendezvousOrder } from '@shedline/types';
 
 /**
- * Requests let in are told together after this time. Ten times a limit brings half a second's worth of its rate
- * by then, less than what is left of a burst when entries have to ask; see `RequestLedger`.
+ * Time for which admitted requests are collected into one report. At ten times the limit, this
+ * admits half a second's worth of its rate, less than the part of a burst that is left when entries
+ * begin to ask; see `RequestLedger`.
  */
 const REPORT_AFTER_MS = 50;
-/** Time between looks whether another process keeps a count now, which then has to hear what passed before. */
-const LOOK_INTERVAL_MS = 500;
-/** Longest wait for a keeper: a tenth of what callers count as late is some 30 ms, and a frozen one must not take it all. */
-const ASK_TIMEOUT_MS = 120;
-/** Time for which a keeper that did not answer is not asked again. */
-const AVOID_MS = 500;
-/** When a caller should come back, elsewhere, whom this entry can neither let in nor tell when there is room. */
-const ALONE_RETRY_MS = 300;
-
-/** What the caller of a request that may not pass is told. 429: over the limit; 503: that is not known. */
+/**
+ * Time between checks whether a count has moved to another process, which then needs reports of
+ * earlier usage.
+ */
+const CHECK_INTERVAL_MS = 500;
+/**
+ * Maximum wait for a counter: callers' latency targets are some 300 ms, which an unresponsive
+ * counter must not use up.
+ */
+const COUNTER_TIMEOUT_MS = 120;
+/** Time for which a counter that did not reply is not asked again. */
+const UNRESPONSIVE_AVOIDANCE_MS = 500;
+/**
+ * Retry delay for callers that this entry cannot admit without a counter; they should try another
+ * entry.
+ */
+const LOCAL_RETRY_MS = 300;
+
+/** Response to a request that is not admitted: 429 if over the limit, 503 if that is unknown. */
 export interface QuotaRefusal {
   readonly mayPass: false;
   readonly status: 429 | 503;
   readonly retryAfterMs: number;
 }
 
-/** Whether a request may pass. */
+/** Whether a request is admitted. */
 export type QuotaVerdict = { readonly mayPass: true } | QuotaRefusal;
 
 /** Options of {@link QuotaEnforcer}. */
@@ -39,31 +50,32 @@
   /** Name of this entry. */
   readonly self: string;
   readonly tolerance: QuotaTolerance;
-  /** Connections to the control processes, one of which keeps the count of each workspace. */
+  /** Connections to the control processes, each of which counts the requests of some workspaces. */
   readonly controls: Pick<PeerConnections, 'ready'>;
-  /** Entries that are known to be up. */
+  /** Returns the number of entries that are known to be up. */
   readonly entryCount: () => number;
   readonly metrics: ProcessMetrics;
   readonly logger: Logger;
   readonly nowMs: () => number;
 }
 
-interface Waiter {
+/** A request that waits for the counter's reply. */
+interface PendingRequest {
   readonly terms: QuotaTerms;
-  readonly settle: (verdict: QuotaVerdict) => void;
+  readonly resolve: (verdict: QuotaVerdict) => void;
 }
 
-/** Limits as one entry keeps them. */
+/** Enforces rate limits at one entry. */
 export class QuotaEnforcer {
   private readonly options: QuotaEnforcerOptions;
   private readonly share: RequestShare;
-  /** Requests that wait until the question before theirs is answered, by workspace. */
-  private readonly waiting = new Map<string, Waiter[]>();
+  /** Requests that wait while an earlier call to the counter is pending, by workspace. */
+  private readonly waiting = new Map<string, PendingRequest[]>();
   private readonly avoidUntilMs = new Map<string, number>();
-  private counters = new Map<string, PeerClient>();
-  private countersOf = '';
-  private report: NodeJS.Timeout | undefined;
-  private look: NodeJS.Timeout | undefined;
+  private counterByWorkspace = new Map<string, PeerClient>();
+  private counterNames = '';
+  private reportTimer: NodeJS.Timeout | undefined;
+  private checkTimer: NodeJS.Timeout | undefined;
 
   constructor(options: QuotaEnforcerOptions) {
     this.options = options;
@@ -71,157 +83,167 @@
     this.share = new RequestShare({ self, tolerance });
   }
 
-  /** Starts to look after the keepers. */
+  /** Starts the periodic checks and reports. */
   start(): void {
-    this.look = setInterval(() => {
+    this.checkTimer = setInterval(() => {
       this.share.noteEntries(this.options.entryCount());
       this.share.forgetIdle(this.options.nowMs());
-      this.tell();
-    }, LOOK_INTERVAL_MS);
+      this.sendReports();
+    }, CHECK_INTERVAL_MS);
   }
 
-  /** Tells what was let in last, and ends. */
+  /** Sends the last report and stops. */
   stop(): void {
-    clearInterval(this.look);
-    clearTimeout(this.report);
-    this.tell();
+    clearInterval(this.checkTimer);
+    clearTimeout(this.reportTimer);
+    this.sendReports();
   }
 
-  /** A control process says which workspaces are near their limits. */
-  hearNear(workspaces: readonly string[]): void {
+  /** Notes workspaces that a control process reported as near their limits. */
+  markNearLimit(workspaces: readonly string[]): void {
     this.share.hearNear(workspaces, this.options.nowMs());
   }
 
-  /** Judges a request of a workspace; one that may pass is counted. */
-  enter(workspace: Workspace, version: number): QuotaVerdict | Promise<QuotaVerdict> {
+  /** Decides on a request of a workspace, and counts it if it is admitted. */
+  admit(workspace: Workspace, version: number): QuotaVerdict | Promise<QuotaVerdict> {
     const { name, limit } = workspace;
     if (limit === undefined) return { mayPass: true };
     const terms = { ...limit, version };
     const way = this.share.wayOf(name, this.counterOf(name) !== undefined, this.options.nowMs());
-    if (way === 'open') return this.passed(name, terms, way);
-    if (way === 'alone') return this.judgeAlone(name, terms);
-    return this.ask(name, terms);
+    if (way === 'open') return this.pass(name, terms, way);
+    if (way === 'alone') return this.decideLocally(name, terms);
+    return this.requestFromCounter(name, terms);
   }
 
-  /** A request that was let in has not run, and its caller was told so: its next attempt counts. */
-  giveBack({ name, limit }: Workspace, version: number): void {
+  /**
+   * Refunds an admitted request that was refused as not executed; its next attempt counts again.
+   */
+  refund({ name, limit }: Workspace, version: number): void {
     if (limit === undefined) return;
     this.share.givenBack(name, { ...limit, version }, this.options.nowMs());
-    this.tellSoon();
+    this.scheduleReport();
   }
 
-  private passed(name: string, terms: QuotaTerms, way: 'open' | 'alone' | 'ask'): QuotaVerdict {
+  private pass(name: string, terms: QuotaTerms, way: 'open' | 'alone' | 'ask'): QuotaVerdict {
     const isCounted = way === 'ask';
     this.share.passed(name, terms, { isCounted, nowMs: this.options.nowMs() });
-    if (!isCounted) this.tellSoon();
+    if (!isCounted) this.scheduleReport();
     this.options.metrics.count('shedline_quota_passes_total', { way });
     return { mayPass: true };
   }
 
-  private judgeAlone(name: string, terms: QuotaTerms): QuotaVerdict {
+  private decideLocally(name: string, terms: QuotaTerms): QuotaVerdict {
     if (this.share.mayPassAlone(name, terms, this.options.nowMs())) {
-      return this.passed(name, terms, 'alone');
+      return this.pass(name, terms, 'alone');
     }
-    return { mayPass: false, status: 503, retryAfterMs: ALONE_RETRY_MS };
+    return { mayPass: false, status: 503, retryAfterMs: LOCAL_RETRY_MS };
   }
 
-  /** Questions about one workspace go one after the other, each for all that came meanwhile. */
-  private ask(name: string, terms: QuotaTerms): Promise<QuotaVerdict> {
-    return new Promise((settle) => {
+  /**
+   * Calls the counter once at a time per workspace; each call covers all requests that have
+   * arrived.
+   */
+  private requestFromCounter(name: string, terms: QuotaTerms): Promise<QuotaVerdict> {
+    return new Promise((resolve) => {
       const queue = this.waiting.get(name);
       if (queue !== undefined) {
-        queue.push({ terms, settle });
+        queue.push({ terms, resolve });
         return;
       }
       this.waiting.set(name, []);
-      void this.askFor(name, [{ terms, settle }]);
+      void this.resolveBatch(name, [{ terms, resolve }]);
     });
   }
 
-  private async askFor(name: string, waiters: readonly Waiter[]): Promise<void> {
-    const answer = await this.question(name, waiters);
-    waiters.forEach(({ terms, settle }, place) => {
-      settle(
+  private async resolveBatch(name: string, requests: readonly PendingRequest[]): Promise<void> {
+    const answer = await this.callCounter(name, requests);
+    requests.forEach(({ terms, resolve }, position) => {
+      resolve(
         answer === undefined
-          ? this.judgeAlone(name, terms)
-          : this.verdict(name, terms, answer, place),
+          ? this.decideLocally(name, terms)
+          : this.verdictFor(name, terms, answer, position),
       );
     });
     const next = this.waiting.get(name) ?? [];
     this.waiting.delete(name);
     if (next.length === 0) return;
     this.waiting.set(name, []);
-    void this.askFor(name, next);
+    void this.resolveBatch(name, next);
   }
 
-  private verdict(
+  private verdictFor(
     name: string,
     terms: QuotaTerms,
     { granted, roomInMs, spacingMs }: QuotaAnswer,
-    place: number,
+    position: number,
   ): QuotaVerdict {
-    if (place < granted) return this.passed(name, terms, 'ask');
-    const retryAfterMs = Math.ceil(roomInMs + (place - granted) * spacingMs);
+    if (position < granted) return this.pass(name, terms, 'ask');
+    const retryAfterMs = Math.ceil(roomInMs + (position - granted) * spacingMs);
     return { mayPass: false, status: 429, retryAfterMs };
   }
 
-  /** The keeper's answer; undefined where there is none in time. */
-  private async question(
+  /** Returns the counter's reply; undefined if there is none in time. */
+  private async callCounter(
     workspace: string,
-    waiters: readonly Waiter[],
+    requests: readonly PendingRequest[],
   ): Promise<QuotaAnswer | undefined> {
     const counter = this.counterOf(workspace);
-    const terms = waiters.at(-1)?.terms;
+    const terms = requests.at(-1)?.terms;
     if (counter === undefined || terms === undefined) return undefined;
     try {
-      const request = { workspace, terms, wanted: waiters.length };
-      return (await counter.request('quotaAsk', request, ASK_TIMEOUT_MS)) as QuotaAnswer;
+      const request = { workspace, terms, wanted: requests.length };
+      return (await counter.request('quotaAsk', request, COUNTER_TIMEOUT_MS)) as QuotaAnswer;
     } catch (error) {
       const reason = error instanceof Error ? error.message : String(error);
       const peer = counter.peerName;
-      this.avoidUntilMs.set(peer, this.options.nowMs() + AVOID_MS);
-      this.options.logger.info('quota not known', { step: 'quota', peer, workspace, reason });
+      this.avoidUntilMs.set(peer, this.options.nowMs() + UNRESPONSIVE_AVOIDANCE_MS);
+      this.options.logger.info('no reply from quota counter', {
+        step: 'quota',
+        peer,
+        workspace,
+        reason,
+      });
       return undefined;
     }
   }
 
-  private tellSoon(): void {
-    this.report ??= setTimeout(() => {
-      this.report = undefined;
-      this.tell();
+  private scheduleReport(): void {
+    this.reportTimer ??= setTimeout(() => {
+      this.reportTimer = undefined;
+      this.sendReports();
     }, REPORT_AFTER_MS);
   }
 
-  private tell(): void {
+  private sendReports(): void {
     const { controls, nowMs } = this.options;
     const reports = this.share.takeReports((name) => this.counterOf(name)?.peerName, nowMs());
     if (reports.size === 0) return;
     for (const control of controls.ready) {
-      const own = reports.get(control.peerName);
-      if (own !== undefined) control.send('quotaUse', own);
+      const controlReports = reports.get(control.peerName);
+      if (controlReports !== undefined) control.send('quotaUse', controlReports);
     }
   }
 
   /**
-   * The control process that keeps the count of a workspace: the same for all entries that reach the same ones.
-   * Undefined where none is reached.
+   * Returns the control process that counts the requests of a workspace, by rendezvous hash: the
+   * same one for all entries that reach the same control processes. Undefined if none is reachable.
    */
   private counterOf(workspace: string): PeerClient | undefined {
     const nowMs = this.options.nowMs();
-    const reached = this.options.controls.ready.filter(
+    const reachable = this.options.controls.ready.filter(
       ({ peerName }) => (this.avoidUntilMs.get(peerName) ?? -Infinity) <= nowMs,
     );
-    const names = reached.map(({ peerName }) => peerName);
+    const names = reachable.map(({ peerName }) => peerName);
     const key = names.join();
-    if (key !== this.countersOf) {
-      this.countersOf = key;
-      this.counters = new Map();
+    if (key !== this.counterNames) {
+      this.counterNames = key;
+      this.counterByWorkspace = new Map();
     }
-    const known = this.counters.get(workspace);
+    const known = this.counterByWorkspace.get(workspace);
     if (known !== undefined) return known;
     const chosen = rendezvousOrder(`quota|${workspace}`, names, 1)[0];
-    const counter = reached.find(({ peerName }) => peerName === chosen);
-    if (counter !== undefined) this.counters.set(workspace, counter);
+    const counter = reachable.find(({ peerName }) => peerName === chosen);
+    if (counter !== undefined) this.counterByWorkspace.set(workspace, counter);
     return counter;
   }
 }
--- a/packages/gateway/src/request-intake.ts
+++ b/packages/gateway/src/request-handler.ts
@@ -1,6 +1,6 @@
 /**
- * Takes the requests of callers: finds their route, works out how long they may take, and refuses what
- * has no route or comes too late before a planned stop.
+ * Handles callers' requests: finds the route, checks the workspace's quota, computes the deadline
+ * and forwards. Requests without a route, or in the last phase of a graceful shutdown, are refused.
  */
 import { CallerTimeLimits } from '@shedline/admission';
 import { chooseService } from '@shedline/fleet';
@@ -8,67 +8,67 @@
 import type { ResponseSink, CallerRequest, Forwarder } from '@shedline/forwarding';
 import type { Logger } from '@shedline/logger';
 import type { ProcessMetrics } from '@shedline/metrics';
-import type { PlannedStop } from './planned-stop.js';
+import type { GracefulShutdown } from './graceful-shutdown.js';
 import type { QuotaEnforcer, QuotaRefusal, QuotaVerdict } from './quota-enforcer.js';
 
-/** When a caller should come back that was not served while the entry started, elsewhere. */
+/** Retry delay for callers refused before the routes are known; they should try another entry. */
 const NOT_READY_RETRY_MS = 300;
-/** When a caller that is refused at the end of a planned stop should come back, elsewhere. */
+/** Retry delay for callers refused during shutdown; they should try another entry. */
 const STOPPING_RETRY_MS = 100;
 
-/** A request of a caller, decoded. */
+/** A decoded request of a caller. */
 export interface IncomingRequest {
   readonly caller: CallerRequest;
   readonly host: string;
-  /** As whom it was let in; undefined where no key is asked for. */
+  /** Workspace of the caller; undefined if the route requires no API key. */
   readonly workspace: Workspace | undefined;
-  /** Time that the caller waits, from when it asked; undefined where it does not say. */
+  /** Time for which the caller waits, from its request on; undefined if the caller did not say. */
   readonly timeLeftMs: number | undefined;
-  /** Time since it asked, as {@link GatewayProcess.untilStarted} told. */
+  /** Time for which it was held at startup, as returned by {@link GatewayProcess.untilStarted}. */
   readonly heldMs: number;
 }
 
-/** A request whose route is known. */
+/** A request with its route. */
 interface AdmittedRequest extends IncomingRequest {
   readonly route: Route;
   readonly routes: RouteTable;
-  /** When its caller asked, on the clock of the entry. */
-  readonly beganMs: number;
+  /** Time of the caller's request on the entry's clock. */
+  readonly askedAtMs: number;
 }
 
-/** Options of {@link RequestIntake}. */
-export interface RequestIntakeOptions {
+/** Options of {@link RequestHandler}. */
+export interface RequestHandlerOptions {
   readonly fleet: KnownFleet;
   readonly forwarder: Forwarder;
-  readonly quotas: Pick<QuotaEnforcer, 'enter' | 'giveBack'>;
-  readonly stop: Pick<PlannedStop, 'isClosing'>;
+  readonly quotas: Pick<QuotaEnforcer, 'admit' | 'refund'>;
+  readonly stop: Pick<GracefulShutdown, 'isClosing'>;
   readonly metrics: ProcessMetrics;
   readonly logger: Logger;
   readonly random: () => number;
   readonly nowMs: () => number;
 }
 
-/** The requests that are open at one entry. */
-export class RequestIntake {
-  private readonly options: RequestIntakeOptions;
+/** Forwards the requests of callers, and counts those in progress. */
+export class RequestHandler {
+  private readonly options: RequestHandlerOptions;
   private openCount = 0;
-  /** By route name. */
+  /** Time limits observed from callers, by route name. */
   private readonly timeLimits = new Map<string, CallerTimeLimits>();
 
-  constructor(options: RequestIntakeOptions) {
+  constructor(options: RequestHandlerOptions) {
     this.options = options;
   }
 
-  /** Requests that are not answered yet. */
+  /** Number of requests in progress. */
   get openRequests(): number {
     return this.openCount;
   }
 
-  /** Forwards a request; its answer goes into the sink. */
+  /** Forwards a request and writes the response to the sink. */
   async forward(incoming: IncomingRequest, sink: ResponseSink): Promise<void> {
     const { caller, host, workspace, heldMs } = incoming;
     if (this.options.stop.isClosing) {
-      this.refuseStopping(caller.requestId, sink);
+      this.refuseAtShutdown(caller.requestId, sink);
       return;
     }
     const { routes } = this.options.fleet;
@@ -77,28 +77,28 @@
       this.refuseUnrouted(incoming, sink);
       return;
     }
-    const admitted = { ...incoming, route, routes, beganMs: this.options.nowMs() - heldMs };
+    const admitted = { ...incoming, route, routes, askedAtMs: this.options.nowMs() - heldMs };
     this.openCount += 1;
     try {
-      const verdict = await this.judge(workspace, routes);
-      if (verdict.mayPass) await this.run(admitted, sink);
+      const verdict = await this.checkQuota(workspace, routes);
+      if (verdict.mayPass) await this.forwardAdmitted(admitted, sink);
       else this.refuseOverQuota(incoming, verdict, sink);
     } finally {
       this.openCount -= 1;
     }
   }
 
-  /** Whether the limit of a workspace has room for one more request. */
-  private judge(
+  /** Checks whether the rate limit of a workspace permits one more request. */
+  private checkQuota(
     workspace: Workspace | undefined,
     { version }: RouteTable,
   ): QuotaVerdict | Promise<QuotaVerdict> {
     if (workspace === undefined) return { mayPass: true };
-    return this.options.quotas.enter(workspace, version);
+    return this.options.quotas.admit(workspace, version);
   }
 
-  private async run(admitted: AdmittedRequest, sink: ResponseSink): Promise<void> {
-    const { caller, workspace, route, routes, timeLeftMs, beganMs } = admitted;
+  private async forwardAdmitted(admitted: AdmittedRequest, sink: ResponseSink): Promise<void> {
+    const { caller, workspace, route, routes, timeLeftMs, askedAtMs } = admitted;
     const { forwarder, quotas, metrics, random, nowMs } = this.options;
     const limitMs = Math.min(route.timeLimitMs, timeLeftMs ?? route.timeLimitMs);
     const end = await forwarder.run({
@@ -107,19 +107,19 @@
       service: chooseService(route, random()),
       rank: workspace?.rank ?? route.rank,
       version: routes.version,
-      deadlineMs: beganMs + limitMs,
-      arrivedAtMs: beganMs,
-      firstAskedAtMs: beganMs - this.ageMs(route, timeLeftMs),
+      deadlineMs: askedAtMs + limitMs,
+      arrivedAtMs: askedAtMs,
+      firstAskedAtMs: askedAtMs - this.callerAgeMs(route, timeLeftMs),
       sink,
     });
-    if (end === 'refused' && workspace !== undefined) quotas.giveBack(workspace, routes.version);
+    if (end === 'refused' && workspace !== undefined) quotas.refund(workspace, routes.version);
     const { name } = route;
     metrics.count('shedline_requests_total', { route: name, outcome: end });
-    metrics.took('shedline_request_milliseconds', { route: name }, nowMs() - beganMs);
+    metrics.took('shedline_request_milliseconds', { route: name }, nowMs() - askedAtMs);
   }
 
-  /** Time since the first attempt of a caller, as far as it shows. */
-  private ageMs(route: Route, timeLeftMs: number | undefined): number {
+  /** Estimates the time since the caller's first attempt from the time that it still waits. */
+  private callerAgeMs(route: Route, timeLeftMs: number | undefined): number {
     if (timeLeftMs === undefined) return 0;
     const known = this.timeLimits.get(route.name);
     const timeLimits = known ?? new CallerTimeLimits();
@@ -128,7 +128,7 @@
     return timeLimits.ageMs(timeLeftMs);
   }
 
-  private refuseStopping(request: string, sink: ResponseSink): void {
+  private refuseAtShutdown(request: string, sink: ResponseSink): void {
     this.options.logger.info('request refused', { step: 'stop', request, outcome: 503 });
     sink.refuse(503, { retryAfterMs: STOPPING_RETRY_MS });
   }
--- a/packages/gateway/src/run-reporter.ts
+++ b/packages/gateway/src/run-reporter.ts
@@ -1,106 +1,110 @@
 /**
- * Reports results, failed runs and items that are handed back to the stores until they have them.
+ * Reports results, failed runs and returned items to the stores, and retries until they are stored.
  */
 import { setTimeout as pause } from 'node:timers/promises';
 import type { GroupCaller } from '@shedline/control-client';
 import type { Logger } from '@shedline/logger';
 import type { CrashedItem, FailedItem, FinishedItem, ReturnedItem } from '@shedline/whole-jobs';
 
-/** Results of this long go out in one command. */
-const GATHER_MS = 15;
+/** Time for which reports are collected into one command. */
+const BATCH_WINDOW_MS = 15;
 const REPORT_TIMEOUT_MS = 3000;
 const RETRY_PAUSE_MS = 200;
 
 /** Options of {@link RunReporter}. */
 export interface RunReporterOptions {
-  /** Name under which this entry holds items. */
+  /** Name under which this entry leases items. */
   readonly holder: string;
   readonly stores: GroupCaller;
   readonly logger: Logger;
 }
 
-interface Outbox {
+/** Reports that one group of the stores has not stored yet. */
+interface PendingReports {
   finished: FinishedItem[];
   failed: FailedItem[];
   returned: ReturnedItem[];
   crashed: CrashedItem[];
 }
 
-/** What the stores do not have yet. */
+/** Sends reports to the stores, one command at a time per group. */
 export class RunReporter {
   private readonly options: RunReporterOptions;
-  private readonly outboxes = new Map<number, Outbox>();
+  private readonly pending = new Map<number, PendingReports>();
   private readonly sending = new Map<number, Promise<void>>();
-  private closed = false;
+  private isClosed = false;
 
   constructor(options: RunReporterOptions) {
     this.options = options;
   }
 
-  /** Reports a result. */
-  finished(group: number, result: FinishedItem): void {
-    this.outboxOf(group).finished.push(result);
-    this.send(group);
+  /** Reports the result of an item. */
+  reportFinished(group: number, result: FinishedItem): void {
+    this.pendingOf(group).finished.push(result);
+    this.startSending(group);
   }
 
-  /** Reports a failed run, which hands the item back too. */
-  failed(group: number, run: FailedItem): void {
-    this.outboxOf(group).failed.push(run);
-    this.send(group);
+  /** Reports a failed run, which also returns the item. */
+  reportFailed(group: number, run: FailedItem): void {
+    this.pendingOf(group).failed.push(run);
+    this.startSending(group);
   }
 
-  /** Hands an item back whose endpoint ended, and reports that. */
-  crashed(group: number, item: ReturnedItem, runId: string): void {
+  /** Returns an item during which the endpoint crashed, and reports the crash. */
+  reportCrashed(group: number, item: ReturnedItem, runId: string): void {
     const { jobId, index } = item;
-    const outbox = this.outboxOf(group);
-    outbox.returned.push(item);
-    outbox.crashed.push({ jobId, index, runId });
-    this.send(group);
+    const reports = this.pendingOf(group);
+    reports.returned.push(item);
+    reports.crashed.push({ jobId, index, runId });
+    this.startSending(group);
   }
 
-  /** Hands items back. */
-  returned(group: number, items: readonly ReturnedItem[]): void {
-    this.outboxOf(group).returned.push(...items);
-    this.send(group);
+  /** Returns items that have not completed. */
+  reportReturned(group: number, items: readonly ReturnedItem[]): void {
+    this.pendingOf(group).returned.push(...items);
+    this.startSending(group);
   }
 
-  /** Resolves once nothing is left to report. */
+  /** Resolves when all reports are stored or abandoned. */
   async flush(): Promise<void> {
     await Promise.all(this.sending.values());
   }
 
-  /** Gives up what the stores do not have yet; other entries get those items when their leases end. */
+  /**
+   * Abandons pending reports; the stores grant those items to other entries when their leases
+   * expire.
+   */
   close(): void {
-    this.closed = true;
+    this.isClosed = true;
   }
 
-  private outboxOf(group: number): Outbox {
-    const known = this.outboxes.get(group);
+  private pendingOf(group: number): PendingReports {
+    const known = this.pending.get(group);
     if (known !== undefined) return known;
-    const fresh: Outbox = { finished: [], failed: [], returned: [], crashed: [] };
-    this.outboxes.set(group, fresh);
-    return fresh;
+    const created: PendingReports = { finished: [], failed: [], returned: [], crashed: [] };
+    this.pending.set(group, created);
+    return created;
   }
 
-  private send(group: number): void {
+  private startSending(group: number): void {
     if (this.sending.has(group)) return;
     const work = this.sendAll(group).finally(() => this.sending.delete(group));
     this.sending.set(group, work);
   }
 
   private async sendAll(group: number): Promise<void> {
-    await pause(GATHER_MS);
+    await pause(BATCH_WINDOW_MS);
     for (;;) {
-      const outbox = this.outboxes.get(group);
-      if (outbox === undefined) return;
-      this.outboxes.delete(group);
-      await this.sendUntilStored(group, { holder: this.options.holder, ...outbox });
+      const reports = this.pending.get(group);
+      if (reports === undefined) return;
+      this.pending.delete(group);
+      await this.sendUntilStored(group, { holder: this.options.holder, ...reports });
     }
   }
 
   private async sendUntilStored(group: number, body: object): Promise<void> {
-    // Stores that stop together with this process never answer, and would be asked for ever.
-    while (!this.closed) {
+    // Stores that stop together with this process never reply, and would be retried forever.
+    while (!this.isClosed) {
       try {
         const payload = { group, body };
         await this.options.stores.call('commitRuns', group, payload, REPORT_TIMEOUT_MS);
@@ -111,6 +115,6 @@
         await pause(RETRY_PAUSE_MS);
       }
     }
-    this.options.logger.info('results given up', { step: 'report', group, reason: 'closed' });
+    this.options.logger.info('results dropped', { step: 'report', group, reason: 'closed' });
   }
 }
--- a/packages/gateway/src/start-gate.test.ts
+++ b/packages/gateway/src/startup-gate.test.ts
@@ -1,9 +1,9 @@
 import test from 'ava';
 import { describe, title } from '@shedline/test-utils';
-import { StartGate } from './start-gate.js';
-import type { DisconnectNotifier } from './start-gate.js';
+import { StartupGate } from './startup-gate.js';
+import type { DisconnectNotifier } from './startup-gate.js';
 
-/** A caller that the test can make leave. */
+/** A caller that the test can disconnect. */
 class FakeCaller implements DisconnectNotifier {
   private listeners: (() => void)[] = [];
 
@@ -11,7 +11,7 @@
     this.listeners.push(listener);
   }
 
-  leave(): void {
+  disconnect(): void {
     for (const listener of this.listeners) listener();
   }
 }
@@ -21,25 +21,25 @@
   othersReady: boolean;
 }
 
-function gateAt(clock: Clock): StartGate {
-  return new StartGate({ nowMs: () => clock.nowMs, othersReady: () => clock.othersReady });
+function gateAt(clock: Clock): StartupGate {
+  return new StartupGate({ nowMs: () => clock.nowMs, othersReady: () => clock.othersReady });
 }
 
-describe('StartGate', () => {
-  test(title('what waits passes when the gate opens, and nothing waits after that'), async (t) => {
+describe('StartupGate', () => {
+  test(title('releases held requests when it opens, and holds none after that'), async (t) => {
     const clock = { nowMs: 0, othersReady: false };
     const gate = gateAt(clock);
     const passed = gate.pass(new FakeCaller());
     t.is(gate.waitingCount, 1);
     clock.nowMs = 70;
     gate.open();
-    t.is(await passed, 70, 'the time that it was held, which its deadline is counted from');
+    t.is(await passed, 70, 'the hold time, which counts against the deadline');
     t.is(gate.waitingCount, 0);
     t.is(gate.holdMs, 0);
     t.is(await gate.pass(new FakeCaller()), 0);
   });
 
-  test(title('holds longer where no other entry would serve the caller'), (t) => {
+  test(title('holds requests longer if no other entry could serve them'), (t) => {
     const clock = { nowMs: 0, othersReady: false };
     const gate = gateAt(clock);
     const aloneMs = gate.holdMs;
@@ -53,20 +53,20 @@
     t.is(gate.holdMs, 0);
   });
 
-  test(title('a caller that leaves is not kept'), async (t) => {
+  test(title('releases the request of a caller that disconnects'), async (t) => {
     const gate = gateAt({ nowMs: 0, othersReady: false });
     const caller = new FakeCaller();
     const passed = gate.pass(caller);
-    caller.leave();
+    caller.disconnect();
     await passed;
     t.is(gate.waitingCount, 0);
   });
 
-  test(title('a gate that never opens lets go after its time'), async (t) => {
-    const gate = new StartGate({
+  test(title('releases requests after the hold time if it never opens'), async (t) => {
+    const gate = new StartupGate({
       nowMs: () => 0,
       othersReady: () => false,
-      holdAloneMs: 5,
+      maxHoldAloneMs: 5,
     });
     await gate.pass(new FakeCaller());
     t.is(gate.waitingCount, 0);
--- a/packages/gateway/src/state-freshness.test.ts
+++ b/packages/gateway/src/state-freshness.test.ts
@@ -11,8 +11,8 @@
 
 function setup(): Setup {
   const lines: [string, LogFields | undefined][] = [];
-  const note = (message: string, fields?: LogFields): number => lines.push([message, fields]);
-  const logger: Logger = { error: note, warn: note, info: note, debug: note };
+  const record = (message: string, fields?: LogFields): number => lines.push([message, fields]);
+  const logger: Logger = { error: record, warn: record, info: record, debug: record };
   const all = { lines, nowMs: 10_000 };
   const freshness = new StateFreshness({
     logger,
@@ -24,35 +24,35 @@
 }
 
 describe('StateFreshness', () => {
-  test(title('says nothing before the first confirmation: the entry still starts'), (t) => {
+  test(title('logs nothing before the first confirmation, during startup'), (t) => {
     const all = setup();
-    all.freshness.look();
+    all.freshness.check();
     t.deepEqual(all.lines, []);
     t.is(all.freshness.ageMs, Infinity);
   });
 
-  test(title('tells once when none comes any more, and once when one comes again'), (t) => {
+  test(title('logs once when confirmations stop, and once when they resume'), (t) => {
     const all = setup();
-    all.freshness.confirmed(10_000, 'c1');
+    all.freshness.confirm(10_000, 'c1');
     all.nowMs = 12_999;
-    all.freshness.look();
+    all.freshness.check();
     t.deepEqual(all.lines, []);
     all.nowMs = 13_000;
-    all.freshness.look();
-    all.freshness.look();
-    // A control process that is cut off from the quorum answers, and confirms nothing.
-    all.freshness.confirmed(9000, 'c1');
+    all.freshness.check();
+    all.freshness.check();
+    // A control process without contact to the quorum replies, but does not confirm the state.
+    all.freshness.confirm(9000, 'c1');
     t.deepEqual(all.lines, [
       [
-        'state of the fleet not confirmed',
+        'fleet state not confirmed',
         { step: 'configure', version: 7, ageMs: 3000, controls: ['c1'] },
       ],
     ]);
     all.nowMs = 14_000;
-    all.freshness.confirmed(13_900, 'c2');
+    all.freshness.confirm(13_900, 'c2');
     t.is(all.freshness.ageMs, 100);
     t.deepEqual(all.lines.at(-1), [
-      'state of the fleet confirmed again',
+      'fleet state confirmed again',
       { step: 'configure', version: 7, peer: 'c2' },
     ]);
     t.is(all.lines.length, 2);
--- a/packages/gateway/src/state-freshness.ts
+++ b/packages/gateway/src/state-freshness.ts
@@ -1,31 +1,32 @@
 /**
- * Tells how long ago a quorum was known to hold nothing newer than this entry knows, as its control processes
- * say, and notes in the log when that is too long ago: the configuration in force here may be old then.
+ * Tracks how long ago control processes last confirmed that a quorum holds no newer state than this
+ * entry, and logs if that is too long ago: the configuration of this entry may be stale then.
  */
 import type { Logger } from '@shedline/logger';
 
 /**
- * Age from which the log says so. Configurations have to be in force everywhere within two seconds; a further control process is
- * asked each 1.2 s, and some hold no member of the fleet group.
+ * Age from which the state counts as unconfirmed. A configuration must be in force everywhere
+ * within 2 s; a further control process is polled every 1.2 s, and some have no member of the fleet
+ * group.
  */
-const EXPECTED_WITHIN_MS = 3000;
+const MAX_CONFIRMATION_AGE_MS = 3000;
 
 /** Options of {@link StateFreshness}. */
 export interface StateFreshnessOptions {
   readonly logger: Logger;
   readonly nowMs: () => number;
-  /** Version of the configuration in force here. */
+  /** Returns the version of the current configuration. */
   readonly version: () => number;
-  /** Names of the control processes that are connected. */
+  /** Returns the names of the connected control processes. */
   readonly connected: () => readonly string[];
 }
 
-/** Age of what an entry knows of the fleet's state. */
+/** Age of an entry's copy of the fleet state. */
 export class StateFreshness {
   private readonly options: StateFreshnessOptions;
   private confirmedAtMs = -Infinity;
-  private isExpected = false;
-  private isMissing = false;
+  private hasBeenConfirmed = false;
+  private isStale = false;
 
   constructor(options: StateFreshnessOptions) {
     this.options = options;
@@ -36,26 +37,26 @@
     return this.options.nowMs() - this.confirmedAtMs;
   }
 
-  /** What is known here was the newest at `atMs`, as `peer` says. */
-  confirmed(atMs: number, peer: string): void {
+  /** Notes that according to `peer` the known state was the newest at `atMs`. */
+  confirm(atMs: number, peer: string): void {
     this.confirmedAtMs = Math.max(this.confirmedAtMs, atMs);
-    this.isExpected = true;
-    if (!this.isMissing || this.ageMs >= EXPECTED_WITHIN_MS) return;
-    this.isMissing = false;
+    this.hasBeenConfirmed = true;
+    if (!this.isStale || this.ageMs >= MAX_CONFIRMATION_AGE_MS) return;
+    this.isStale = false;
     const { logger, version } = this.options;
-    logger.info('state of the fleet confirmed again', {
+    logger.info('fleet state confirmed again', {
       step: 'configure',
       version: version(),
       peer,
     });
   }
 
-  /** A regular look. */
-  look(): void {
-    if (this.isMissing || !this.isExpected || this.ageMs < EXPECTED_WITHIN_MS) return;
-    this.isMissing = true;
+  /** Logs a warning if the state has become unconfirmed; called periodically. */
+  check(): void {
+    if (this.isStale || !this.hasBeenConfirmed || this.ageMs < MAX_CONFIRMATION_AGE_MS) return;
+    this.isStale = true;
     const { logger, version, connected } = this.options;
-    logger.warn('state of the fleet not confirmed', {
+    logger.warn('fleet state not confirmed', {
       step: 'configure',
       version: version(),
       ageMs: Math.round(this.ageMs),
--- a/packages/gateway/src/store-links.test.ts
+++ b/packages/gateway/src/store-connections.test.ts
@@ -2,14 +2,14 @@
 import type { MemberRecord } from '@shedline/mesh';
 import { describe, title } from '@shedline/test-utils';
 import type { PeerAddress, PeerClient } from '@shedline/transport';
-import { StoreLinks } from './store-links.js';
+import { StoreConnections } from './store-connections.js';
 
 const STORE_COUNT = 30;
 const GROUP = 2;
 
-/** Notes which connections are wanted; every question is answered by the name asked. */
+/** Records the requested connections; each call is answered with the name of the store. */
 class FakeConnections {
-  readonly asked: string[] = [];
+  readonly called: string[] = [];
   private readonly names = new Set<string>();
 
   get open(): string[] {
@@ -23,7 +23,7 @@
   get(name: string): PeerClient | undefined {
     if (!this.names.has(name)) return undefined;
     const request = (): Promise<string> => {
-      this.asked.push(name);
+      this.called.push(name);
       return Promise.resolve(name);
     };
     return { isReady: true, request } as unknown as PeerClient;
@@ -59,37 +59,40 @@
   });
 }
 
-function linksTo(connections: FakeConnections, all: readonly MemberRecord[]): StoreLinks {
-  return new StoreLinks({ connections, stores: () => all, groups: () => new Set([GROUP]) });
+function createStoreConnections(
+  connections: FakeConnections,
+  all: readonly MemberRecord[],
+): StoreConnections {
+  return new StoreConnections({ connections, stores: () => all, groups: () => new Set([GROUP]) });
 }
 
-describe('StoreLinks', () => {
-  test(title('connects to the leader of a group that it needs, and to no other store'), (t) => {
+describe('StoreConnections', () => {
+  test(title('connects only to the leaders of needed groups'), (t) => {
     const connections = new FakeConnections();
-    linksTo(connections, stores()).update();
+    createStoreConnections(connections, stores()).update();
     t.deepEqual(connections.open, ['store-22']);
   });
 
-  test(title('asks the leader, then those that hold the group, then the others'), async (t) => {
+  test(title('orders calls by leader, other group members, other stores'), async (t) => {
     const connections = new FakeConnections();
-    const ports = linksTo(connections, stores()).ports(GROUP);
+    const ports = createStoreConnections(connections, stores()).ports(GROUP);
     t.is(ports.length, STORE_COUNT);
     t.true(ports.every(({ isReady }) => isReady));
     const names = ports.slice(0, 5).map(({ name }) => name);
     t.deepEqual(names, ['store-22', 'store-20', 'store-21', 'store-23', 'store-24']);
     await ports[1]?.call('ask', {}, 100);
-    t.deepEqual(connections.asked, ['store-20']);
-    t.deepEqual(connections.open, ['store-20'], 'opened for the question');
+    t.deepEqual(connections.called, ['store-20']);
+    t.deepEqual(connections.open, ['store-20'], 'opened for the call');
   });
 
-  test(title('follows a leader that changes'), (t) => {
+  test(title('follows a change of leader'), (t) => {
     const connections = new FakeConnections();
     const all = stores();
-    const links = linksTo(connections, all);
-    links.update();
+    const storeConnections = createStoreConnections(connections, all);
+    storeConnections.update();
     all[22] = store(22, { holds: [GROUP], leads: [] });
     all[24] = store(24, { holds: [GROUP], leads: [GROUP] });
-    links.update();
+    storeConnections.update();
     t.deepEqual(connections.open, ['store-24']);
   });
 });
--- a/packages/gateway/src/store-links.ts
+++ b/packages/gateway/src/store-connections.ts
@@ -1,33 +1,36 @@
 /**
- * Connections of an entry to the stores: lasting ones to those that lead a group which it needs, others
- * while a question goes there. With one to each of 30 stores, 165 entries held 4,950 connections, each with its
- * handshake at every start and its pings.
+ * Connections of an entry to the stores: persistent ones to the leaders of the groups that it
+ * needs, and temporary ones to other stores while they are called. With a connection to each of 30
+ * stores, 165 entries held 4,950 connections, each with a handshake at every start and with regular
+ * pings.
  */
 import type { CallPort } from '@shedline/control-client';
 import type { MemberRecord } from '@shedline/mesh';
 import type { PeerConnections } from '@shedline/transport';
 
-/** Time that a connection outlives the need for it: leaders change back and forth around a fault. */
+/**
+ * Time for which an unneeded connection is kept: leadership moves back and forth around a fault.
+ */
 export const STORE_LINGER_MS = 10_000;
 
-/** Options of {@link StoreLinks}. */
-export interface StoreLinksOptions {
+/** Options of {@link StoreConnections}. */
+export interface StoreConnectionsOptions {
   readonly connections: Pick<PeerConnections, 'add' | 'get' | 'keepOnly'>;
-  /** Stores that are up. */
+  /** Returns the stores that are up. */
   readonly stores: () => readonly MemberRecord[];
-  /** Groups that this entry needs. */
+  /** Returns the groups that this entry needs. */
   readonly groups: () => ReadonlySet<number>;
 }
 
-/** Connections to the stores. */
-export class StoreLinks {
-  private readonly options: StoreLinksOptions;
+/** Maintains the connections to the stores. */
+export class StoreConnections {
+  private readonly options: StoreConnectionsOptions;
 
-  constructor(options: StoreLinksOptions) {
+  constructor(options: StoreConnectionsOptions) {
     this.options = options;
   }
 
-  /** Connects to the leaders of the groups needed; all others end after a while. */
+  /** Connects to the leaders of the needed groups; other connections are closed after a delay. */
   update(): void {
     const { connections, stores, groups } = this.options;
     const needed = groups();
@@ -36,7 +39,10 @@
     connections.keepOnly(new Set(leaders.map(({ name }) => name)));
   }
 
-  /** The stores as places to ask about a group: its leader, then those that hold it, then the others. */
+  /**
+   * Returns the stores in the order of calls about a group: its leader, its other members, the
+   * rest.
+   */
   ports(group: number): CallPort[] {
     const ranked = this.options.stores().map((store) => ({ store, rank: rankOf(store, group) }));
     return ranked.sort((a, b) => a.rank - b.rank).map(({ store }) => this.portOf(store));
@@ -47,7 +53,7 @@
     const open = connections.get(store.name);
     return {
       name: store.name,
-      // One to which no connection was tried yet may well answer.
+      // A store to which no connection was tried yet may well be reachable.
       isReady: open === undefined || open.isReady,
       call: (method, payload, timeoutMs) => {
         connections.add(store);
@@ -59,7 +65,7 @@
   }
 }
 
-/** 0 for the leader of a group, 1 for its other holders, 2 for all others. */
+/** Returns 0 for the leader of a group, 1 for its other members, 2 for all other stores. */
 function rankOf({ leads, holds }: MemberRecord, group: number): number {
   if (leads?.includes(group) === true) return 0;
   return holds?.includes(group) === true ? 1 : 2;
