--- a/packages/gateway/src/subset-tracker.ts
+++ b/packages/gateway/src/subset-tracker.ts
@@ -1,5 +1,6 @@
 /**
- * Keeps the division of the fleet as this entry sees it up to date.
+ * Keeps the endpoint subsets of the entries up to date, as computed from the members known to this
+ * entry.
  */
 import { EndpointSubsets } from '@shedline/directory';
 import type { ZonedName } from '@shedline/directory';
@@ -8,72 +9,77 @@
 export interface SubsetTrackerOptions {
   /** Name of this entry. */
   readonly self: string;
-  /** Entries that serve now, this one included. */
+  /** Returns the entries that serve now, including this one. */
   readonly entries: () => readonly ZonedName[];
-  /** Endpoints that are up now. */
+  /** Returns the endpoints that are up now. */
   readonly endpoints: () => readonly ZonedName[];
 }
 
-/** The division in force. */
+/** The current endpoint subsets. */
 export class SubsetTracker {
   private readonly options: SubsetTrackerOptions;
   private subsets = new EndpointSubsets({ entries: [], endpoints: [] });
-  private own: ReadonlySet<string> = new Set();
-  private key = '';
-  private entries = 1;
+  private ownEndpoints: ReadonlySet<string> = new Set();
+  private membersKey = '';
+  private servingEntryCount = 1;
   private endpointCount = 0;
 
   constructor(options: SubsetTrackerOptions) {
     this.options = options;
   }
 
-  /** Divides anew if entries or endpoints came or went; true then. */
+  /**
+   * Recomputes the subsets if entries or endpoints were added or removed; returns whether it did.
+   */
   refresh(): boolean {
     const entries = this.options.entries();
     const endpoints = this.options.endpoints();
     const key = `${namesOf(entries)}#${namesOf(endpoints)}`;
-    if (key === this.key) return false;
-    this.key = key;
-    this.entries = entries.length;
+    if (key === this.membersKey) return false;
+    this.membersKey = key;
+    this.servingEntryCount = entries.length;
     this.endpointCount = endpoints.length;
     this.subsets = new EndpointSubsets({ entries, endpoints });
-    this.own = new Set(this.subsets.endpointsOf(this.options.self));
+    this.ownEndpoints = new Set(this.subsets.endpointsOf(this.options.self));
     return true;
   }
 
-  /** Endpoints that this entry sends to while they have room. */
+  /** Endpoints in the subset of this entry. */
   get endpoints(): ReadonlySet<string> {
-    return this.own;
+    return this.ownEndpoints;
   }
 
-  /** Entries that use an endpoint. */
+  /** Returns the entries with an endpoint in their subset. */
   usersOf(endpointId: string): readonly string[] {
     return this.subsets.entriesOf(endpointId);
   }
 
-  /** Entries that may run batch work at an endpoint: bodies and events stay in its zone. */
+  /**
+   * Returns the entries that may run batch work at an endpoint: those in its zone, where bodies and
+   * events stay.
+   */
   batchUsersOf(endpointId: string): readonly string[] {
     return this.subsets.nearEntriesOf(endpointId);
   }
 
-  /** Entries that serve, this one included. */
+  /** Number of entries that serve, including this one. */
   get entryCount(): number {
-    return this.entries;
+    return this.servingEntryCount;
   }
 
-  /** Entries that may run batch work at the same time: one an endpoint. */
+  /** Number of entries that may run batch work at the same time: at most one per endpoint. */
   get batchEntryCount(): number {
-    return Math.min(this.entries, this.endpointCount);
+    return Math.min(this.servingEntryCount, this.endpointCount);
   }
 
-  /** Other entries that share endpoints with this one. */
+  /** Names of other entries that share endpoints with this one. */
   get peers(): readonly string[] {
     return this.subsets.peersOf(this.options.self);
   }
 }
 
-function namesOf(placed: readonly ZonedName[]): string {
-  return placed
+function namesOf(members: readonly ZonedName[]): string {
+  return members
     .map(({ name, availabilityZone }) => `${availabilityZone}|${name}`)
     .sort()
     .join(',');
