--- a/packages/gateway/src/api-key-authenticator.ts
+++ b/packages/gateway/src/api-key-authenticator.ts
@@ -31,7 +31,7 @@
 /** Options of {@link ApiKeyAuthenticator}. */
 export interface ApiKeyAuthenticatorOptions {
   /** Time since the last reply of a control process. */
-  readonly silentMs: () => number;
+  readonly controlSilenceMs: () => number;
   readonly metrics: ProcessMetrics;
   readonly logger: Logger;
 }
@@ -67,10 +67,18 @@
     readonly version: number;
   }): KeyRefusal {
     const { reason, requestId: request, route, version } = refused;
-    const silentMs = Math.round(this.options.silentMs());
-    const mayBeNew = reason === 'unknown key' && silentMs > MAX_CONTROL_SILENCE_MS;
+    const controlSilenceMs = Math.round(this.options.controlSilenceMs());
+    const mayBeNew = reason === 'unknown key' && controlSilenceMs > MAX_CONTROL_SILENCE_MS;
     const outcome = mayBeNew ? 503 : 401;
-    const fields = { step: 'key', request, route, version, newsAgeMs: silentMs, outcome, reason };
+    const fields = {
+      step: 'key',
+      request,
+      route,
+      version,
+      newsAgeMs: controlSilenceMs,
+      outcome,
+      reason,
+    };
     this.options.logger.info('request refused', fields);
     this.options.metrics.count('shedline_refused_keys_total', { reason });
     return mayBeNew ? { status: 503, retryAfterMs: STALE_RETRY_MS } : { status: 401 };
--- a/packages/gateway/src/crash-detector.test.ts
+++ b/packages/gateway/src/crash-detector.test.ts
@@ -40,10 +40,10 @@
 
   test(title('probes once for all responses that break together'), async (t) => {
     const setup = new Setup();
-    const answers = await Promise.all(
+    const results = await Promise.all(
       Array.from({ length: 8 }, () => setup.detector.hasCrashed('e', ADDRESS)),
     );
-    t.true(answers.every((hasEnded) => hasEnded));
+    t.true(results.every((hasCrashed) => hasCrashed));
     t.true(await setup.detector.hasCrashed('e', ADDRESS), 'a later break');
     t.is(setup.probeCount, 1);
     t.deepEqual(setup.crashed, ['e']);
--- a/packages/gateway/src/crash-guard.ts
+++ b/packages/gateway/src/crash-guard.ts
@@ -25,24 +25,24 @@
 /** {@link ContentGuard} of an entry. */
 export class CrashGuard implements ContentGuard {
   private readonly options: CrashGuardOptions;
-  private readonly known: KnownCrashes;
+  private readonly records: KnownCrashes;
 
   constructor(options: CrashGuardOptions) {
     this.options = options;
-    this.known = new KnownCrashes(options.nowMs);
+    this.records = new KnownCrashes(options.nowMs);
   }
 
   get isIdle(): boolean {
-    return this.known.isEmpty;
+    return this.records.isEmpty;
   }
 
   /** Number of contents that are quarantined. */
   get heldCount(): number {
-    return this.known.heldCount;
+    return this.records.heldCount;
   }
 
   async admit(contentKey: string): Promise<Admission> {
-    const status = this.known.status(contentKey);
+    const status = this.records.status(contentKey);
     if (status.kind === 'free') return { isAdmitted: true };
     if (status.kind === 'held') return { isAdmitted: false, retryAfterMs: status.forMs };
     const isPermitted = await this.options.reporter.beginTrial(contentKey, status.trials);
@@ -57,13 +57,13 @@
   }
 
   heldMs(contentKey: string): number {
-    const status = this.known.status(contentKey);
+    const status = this.records.status(contentKey);
     if (status.kind === 'free') return 0;
     return status.kind === 'held' ? status.forMs : TRIAL_RETRY_MS;
   }
 
   crashesOf(contentKey: string): number {
-    return this.known.crashesOf(contentKey);
+    return this.records.crashesOf(contentKey);
   }
 
   brokeOff(send: BrokenSend): void {
@@ -73,8 +73,8 @@
   }
 
   survived(contentKey: string): void {
-    const crashes = this.known.crashesOf(contentKey);
-    if (!this.known.survived(contentKey)) return;
+    const crashes = this.records.crashesOf(contentKey);
+    if (!this.records.survived(contentKey)) return;
     this.options.logger.info('content released from quarantine', {
       step: 'hold',
       content: contentKey,
@@ -85,11 +85,11 @@
 
   /** Applies changes of the fleet's record of crashes. */
   applyChanges(changes: CrashChanges, from: string): void {
-    for (const content of this.known.take(changes)) {
+    for (const content of this.records.take(changes)) {
       this.options.logger.info('content quarantined', {
         step: 'hold',
         content,
-        crashes: this.known.crashesOf(content),
+        crashes: this.records.crashesOf(content),
         change: changes.number,
         peer: from,
       });
@@ -98,7 +98,7 @@
 
   private recordCrash(send: BrokenSend): void {
     const { contentKey, knownCrashes, hasBegun, requestId, endpointId } = send;
-    this.known.crashed(contentKey, { knownCrashes, hasBegun });
+    this.records.crashed(contentKey, { knownCrashes, hasBegun });
     this.options.reporter.reportCrash({ contentKey, knownCrashes, hasBegun });
     this.options.logger.info('endpoint crashed while processing content', {
       step: 'hold',
@@ -106,7 +106,7 @@
       endpoint: endpointId,
       content: contentKey,
       hasBegun,
-      crashes: this.known.crashesOf(contentKey),
+      crashes: this.records.crashesOf(contentKey),
     });
   }
 }
--- a/packages/gateway/src/endpoint-pool.test.ts
+++ b/packages/gateway/src/endpoint-pool.test.ts
@@ -54,7 +54,7 @@
       onLoadChange: () => undefined,
       onSlotWanted: () => undefined,
       onRunReplaced: (_endpointId, address) => this.replaced.push(address),
-      onSilence: (moment) => this.timeouts.push(moment),
+      onTimeout: (moment) => this.timeouts.push(moment),
     });
     if (!hasJustStarted) this.nowMs += 2000;
   }
--- a/packages/gateway/src/endpoint-pool.ts
+++ b/packages/gateway/src/endpoint-pool.ts
@@ -83,7 +83,7 @@
    * Called when an attempt fails without data for its time limit, by whether the response had
    * begun.
    */
-  readonly onSilence: (moment: 'begun' | 'notBegun') => void;
+  readonly onTimeout: (moment: 'begun' | 'notBegun') => void;
 }
 
 /** Tracks the endpoints and chooses one for each request. */
@@ -98,7 +98,7 @@
   private readonly loads = new LoadView();
   private readonly routing: SlotRouting;
   private readonly addresses = new Map<string, string>();
-  /** Heartbeat of the latest incarnation of each endpoint, by the id from its settings. */
+  /** Heartbeat of the latest incarnation of each endpoint, by endpoint id. */
   private readonly latestHeartbeats = new Map<string, EndpointHeartbeat>();
 
   constructor(options: EndpointPoolOptions) {
@@ -131,8 +131,8 @@
   }
 
   /**
-   * Returns false for a delayed heartbeat of a previous incarnation; a new one replaces the
-   * previous.
+   * Returns false for a delayed heartbeat of a previous incarnation; drops the previous incarnation
+   * on the first heartbeat of a new one.
    */
   private isOfLatestRun(heartbeat: EndpointHeartbeat, ageMs: number): boolean {
     const known = this.latestHeartbeats.get(heartbeat.endpointId);
@@ -361,7 +361,7 @@
   private isInconclusive(endpointId: string, result: SendResult): boolean {
     if (result.kind !== 'ended' || !('isSilence' in result.outcome)) return false;
     const hasBegun = result.outcome.kind === 'brokeOff';
-    this.options.onSilence(hasBegun ? 'begun' : 'notBegun');
+    this.options.onTimeout(hasBegun ? 'begun' : 'notBegun');
     return hasBegun || this.mayBeWaiting(endpointId);
   }
 
@@ -385,8 +385,8 @@
   /**
    * Returns the online requests at an endpoint. Until the other entries have reported theirs, each
    * is assumed to have as many as this one. Without this, entries that all restarted in a peak took
-   * the endpoints for idle and sent 560 requests to 224 slots in 0.8 s, and later ones waited 0.45
-   * s.
+   * the endpoints for idle and sent 560 requests to 224 slots in 0.8 s, and later requests waited
+   * 0.45 s behind them.
    */
   private onlineAt(endpointId: string, nowMs: number): number {
     const known = Math.round(this.loads.online(endpointId, nowMs, false));
--- a/packages/gateway/src/fleet-follower.test.ts
+++ b/packages/gateway/src/fleet-follower.test.ts
@@ -90,7 +90,7 @@
   const follower = new FleetFollower({
     controls: controls.connections,
     caller: quorum,
-    isNear: (control) => control === 'near',
+    isInOwnZone: (control) => control === 'near',
     logger: createLogger({ level: 'silent' }),
     nowMs: () => performance.now(),
     onHeartbeats: (heartbeats) => received.push(...heartbeats),
@@ -107,14 +107,14 @@
 
 describe('FleetFollower', () => {
   test(title('receives endpoints, but applies no routes, before the quorum replies'), async (t) => {
-    const all = setup({ near: 3 });
-    const started = all.follower.start();
-    await until(() => all.received.length > 0);
-    t.is(all.follower.fleet.routes, undefined, 'a single control process may lag');
-    all.quorum.reply(deltaOf(4));
+    const fixture = setup({ near: 3 });
+    const started = fixture.follower.start();
+    await until(() => fixture.received.length > 0);
+    t.is(fixture.follower.fleet.routes, undefined, 'a single control process may lag');
+    fixture.quorum.reply(deltaOf(4));
     await started;
-    t.deepEqual(all.routes, [4]);
-    all.follower.stop();
+    t.deepEqual(fixture.routes, [4]);
+    fixture.follower.stop();
   });
 
   /**
@@ -123,17 +123,17 @@
    * changes.
    */
   test(title('applies no pushed change before the quorum has replied'), async (t) => {
-    const all = setup({});
-    const started = all.follower.start();
-    all.follower.handleDelta(deltaOf(3), 'starting');
-    t.is(all.follower.fleet.routes, undefined);
-    all.quorum.reply(deltaOf(5));
-    all.follower.handleDelta(deltaOf(6), 'leading');
+    const fixture = setup({});
+    const started = fixture.follower.start();
+    fixture.follower.handleDelta(deltaOf(3), 'starting');
+    t.is(fixture.follower.fleet.routes, undefined);
+    fixture.quorum.reply(deltaOf(5));
+    fixture.follower.handleDelta(deltaOf(6), 'leading');
     await started;
-    t.deepEqual(all.routes, [5, 6], 'a newer change received in the meantime is applied');
-    all.follower.handleDelta(deltaOf(7), 'leading');
-    t.is(all.follower.fleet.position.version, 7);
-    all.follower.stop();
+    t.deepEqual(fixture.routes, [5, 6], 'a newer change received in the meantime is applied');
+    fixture.follower.handleDelta(deltaOf(7), 'leading');
+    t.is(fixture.follower.fleet.position.version, 7);
+    fixture.follower.stop();
   });
 
   /**
@@ -142,43 +142,45 @@
    * control processes, some entries applied an old configuration for seconds.
    */
   test(title('reads the state from a control process as soon as it is connected'), async (t) => {
-    const all = setup({ near: 1, far: 2, distant: 3 });
-    all.follower.onControlConnected('distant');
-    t.deepEqual(all.controls.stateReads, [], 'the initial read goes through the quorum');
-    const started = all.follower.start();
-    all.quorum.reply(deltaOf(1));
+    const fixture = setup({ near: 1, far: 2, distant: 3 });
+    fixture.follower.onControlConnected('distant');
+    t.deepEqual(fixture.controls.stateReads, [], 'the initial read goes through the quorum');
+    const started = fixture.follower.start();
+    fixture.quorum.reply(deltaOf(1));
     await started;
-    all.follower.onControlConnected('distant');
-    t.deepEqual(all.controls.stateReads, ['distant'], 'at once, not in rotation');
-    await until(() => all.follower.fleet.position.version === 3);
-    all.follower.stop();
+    fixture.follower.onControlConnected('distant');
+    t.deepEqual(fixture.controls.stateReads, ['distant'], 'at once, not in rotation');
+    await until(() => fixture.follower.fleet.position.version === 3);
+    fixture.follower.stop();
   });
 
   test(
     title('polls the control process in its zone each time, and the others in rotation'),
     async (t) => {
-      const all = setup({ first: 1, near: 1, second: 1 });
-      const started = all.follower.start();
-      all.quorum.reply(deltaOf(1));
+      const fixture = setup({ first: 1, near: 1, second: 1 });
+      const started = fixture.follower.start();
+      fixture.quorum.reply(deltaOf(1));
       await started;
       await until(
-        () => all.controls.refreshes.includes('first') && all.controls.refreshes.includes('second'),
+        () =>
+          fixture.controls.refreshes.includes('first') &&
+          fixture.controls.refreshes.includes('second'),
       );
-      all.follower.stop();
-      const near = all.controls.refreshes.filter((name) => name === 'near').length;
+      fixture.follower.stop();
+      const near = fixture.controls.refreshes.filter((name) => name === 'near').length;
       t.true(near >= 6, 'two others were polled, one at every fourth poll');
     },
   );
 
   test(title('never replaces newer routes by older ones'), async (t) => {
-    const all = setup({ near: 2 });
-    const started = all.follower.start();
-    all.quorum.reply(deltaOf(5));
+    const fixture = setup({ near: 2 });
+    const started = fixture.follower.start();
+    fixture.quorum.reply(deltaOf(5));
     await started;
-    await until(() => all.controls.refreshes.length >= 2);
+    await until(() => fixture.controls.refreshes.length >= 2);
     await pause(5);
-    t.is(all.follower.fleet.position.version, 5);
-    t.deepEqual(all.routes, [5]);
-    all.follower.stop();
+    t.is(fixture.follower.fleet.position.version, 5);
+    t.deepEqual(fixture.routes, [5]);
+    fixture.follower.stop();
   });
 });
--- a/packages/gateway/src/fleet-follower.ts
+++ b/packages/gateway/src/fleet-follower.ts
@@ -39,7 +39,7 @@
   readonly controls: PeerConnections;
   readonly caller: GroupCaller;
   /** Whether a control process is in the availability zone of this entry. */
-  readonly isNear: (control: string) => boolean;
+  readonly isInOwnZone: (control: string) => boolean;
   readonly logger: Logger;
   readonly nowMs: () => number;
   readonly onHeartbeats: (heartbeats: readonly AgedHeartbeat[]) => void;
@@ -55,7 +55,7 @@
   readonly fleet = new KnownFleet();
   private readonly options: FleetFollowerOptions;
   private readonly freshness: StateFreshness;
-  private readonly cursors = new Map<string, { epoch: string; cursor: number }>();
+  private readonly endpointCursors = new Map<string, { epoch: string; cursor: number }>();
   private readonly pendingControls = new Set<string>();
   private timer: NodeJS.Timeout | undefined;
   private refreshCount = 0;
@@ -191,11 +191,11 @@
     const idle = this.options.controls.ready.filter(
       ({ peerName }) => !this.pendingControls.has(peerName),
     );
-    const near = idle.find(({ peerName }) => this.options.isNear(peerName)) ?? idle[0];
-    if (near !== undefined) void this.refreshFrom(near);
+    const preferred = idle.find(({ peerName }) => this.options.isInOwnZone(peerName)) ?? idle[0];
+    if (preferred !== undefined) void this.refreshFrom(preferred);
     this.refreshCount += 1;
     this.freshness.check();
-    const others = idle.filter((control) => control !== near);
+    const others = idle.filter((control) => control !== preferred);
     const other = others[this.crossCheckCount % Math.max(1, others.length)];
     if (other === undefined || this.refreshCount % REFRESHES_PER_CROSS_CHECK !== 0) return;
     this.crossCheckCount += 1;
@@ -235,7 +235,7 @@
   private async refreshFrom(control: PeerClient): Promise<void> {
     const { peerName } = control;
     this.pendingControls.add(peerName);
-    const known = this.cursors.get(peerName) ?? { epoch: '', cursor: 0 };
+    const known = this.endpointCursors.get(peerName) ?? { epoch: '', cursor: 0 };
     const request: RefreshRequest = { position: this.fleet.position, ...known };
     const askedAtMs = this.options.nowMs();
     try {
@@ -243,7 +243,7 @@
       const { endpoints, ...state } = raw as RefreshAnswer;
       this.lastReplyAtMs = this.options.nowMs();
       if (this.hasReadQuorum) this.applyState(state, peerName, askedAtMs);
-      this.cursors.set(peerName, { epoch: endpoints.epoch, cursor: endpoints.cursor });
+      this.endpointCursors.set(peerName, { epoch: endpoints.epoch, cursor: endpoints.cursor });
       this.handleHeartbeats(endpoints.heartbeats);
     } catch (error) {
       this.logFailedRefresh(peerName, error);
--- a/packages/gateway/src/gateway-process.ts
+++ b/packages/gateway/src/gateway-process.ts
@@ -217,7 +217,7 @@
       entryCount: () => this.subsetTracker.batchEntryCount,
     });
     this.keys = new ApiKeyAuthenticator({
-      silentMs: () => this.follower.controlSilenceMs,
+      controlSilenceMs: () => this.follower.controlSilenceMs,
       metrics: this.metrics,
       logger,
     });
@@ -358,7 +358,7 @@
     return new FleetFollower({
       controls: this.core.mesh.controls,
       caller: this.controlCaller,
-      isNear: (control) => this.isNear(control),
+      isInOwnZone: (control) => this.isNear(control),
       logger: this.logger,
       nowMs: this.nowMs,
       onHeartbeats: (heartbeats) => {
@@ -403,7 +403,7 @@
         this.crashDetector.noteRestart(endpointId);
         this.onEndpointRestarted(address, heartbeatAgeMs);
       },
-      onSilence: (moment) => {
+      onTimeout: (moment) => {
         this.metrics.count('shedline_silent_sends_total', { moment });
       },
     });
--- a/packages/gateway/src/item-run.ts
+++ b/packages/gateway/src/item-run.ts
@@ -16,7 +16,7 @@
  * Time without data after which a run is aborted, to be resumed at another endpoint. A free slot
  * responds within 0.1 s; output that the endpoint has generated but not sent is lost.
  */
-const SILENCE_LIMIT_MS = 1500;
+const MAX_DATA_GAP_MS = 1500;
 
 /** Options of {@link ItemRun}. */
 export interface ItemRunOptions {
@@ -74,7 +74,7 @@
         headers: protocol.sendHeaders(request, terms),
         body: request.body,
         mayBeRepeated: true,
-        silence: { limitMs: SILENCE_LIMIT_MS, then: 'giveUp' },
+        silence: { limitMs: MAX_DATA_GAP_MS, then: 'giveUp' },
       },
       {
         onHead: () => undefined,
--- a/packages/gateway/src/item-runner.test.ts
+++ b/packages/gateway/src/item-runner.test.ts
@@ -162,7 +162,7 @@
     entryCount: () => 1,
     onLoadChange: () => undefined,
     onSlotWanted: () => undefined,
-    onSilence: () => undefined,
+    onTimeout: () => undefined,
     onRunReplaced: () => undefined,
   });
   const heartbeat = {
@@ -256,7 +256,7 @@
     ]);
   });
 
-  test(title('runs an item that cannot succeed only once'), async (t) => {
+  test(title('does not retry an item that cannot succeed'), async (t) => {
     const stores = new FakeStores(() => performance.now());
     const sender = new FakeSender(() => ({
       kind: 'failure',
--- a/packages/gateway/src/job-service.ts
+++ b/packages/gateway/src/job-service.ts
@@ -130,7 +130,10 @@
     return outcome;
   }
 
-  /** Returns a page of results from a position on, after waiting up to `waitMs` for one. */
+  /**
+   * Returns the results from a position on, after waiting up to `waitMs` for the first of them;
+   * undefined if there is no such job.
+   */
   async results(
     job: JobName,
     { position, waitMs }: { readonly position: number; readonly waitMs: number },
--- a/packages/gateway/src/overload.test.ts
+++ b/packages/gateway/src/overload.test.ts
@@ -249,7 +249,7 @@
       },
       onSlotWanted: () => undefined,
       onRunReplaced: () => undefined,
-      onSilence: () => undefined,
+      onTimeout: () => undefined,
     });
     const after = (delayMs: number, callback: () => void): void => {
       this.after(delayMs, callback);
--- a/packages/gateway/src/state-freshness.test.ts
+++ b/packages/gateway/src/state-freshness.test.ts
@@ -13,48 +13,48 @@
   const lines: [string, LogFields | undefined][] = [];
   const record = (message: string, fields?: LogFields): number => lines.push([message, fields]);
   const logger: Logger = { error: record, warn: record, info: record, debug: record };
-  const all = { lines, nowMs: 10_000 };
+  const fixture = { lines, nowMs: 10_000 };
   const freshness = new StateFreshness({
     logger,
-    nowMs: () => all.nowMs,
+    nowMs: () => fixture.nowMs,
     version: () => 7,
     connected: () => ['c1'],
   });
-  return Object.assign(all, { freshness });
+  return Object.assign(fixture, { freshness });
 }
 
 describe('StateFreshness', () => {
   test(title('logs nothing before the first confirmation, during startup'), (t) => {
-    const all = setup();
-    all.freshness.check();
-    t.deepEqual(all.lines, []);
-    t.is(all.freshness.ageMs, Infinity);
+    const fixture = setup();
+    fixture.freshness.check();
+    t.deepEqual(fixture.lines, []);
+    t.is(fixture.freshness.ageMs, Infinity);
   });
 
   test(title('logs once when confirmations stop, and once when they resume'), (t) => {
-    const all = setup();
-    all.freshness.confirm(10_000, 'c1');
-    all.nowMs = 12_999;
-    all.freshness.check();
-    t.deepEqual(all.lines, []);
-    all.nowMs = 13_000;
-    all.freshness.check();
-    all.freshness.check();
+    const fixture = setup();
+    fixture.freshness.confirm(10_000, 'c1');
+    fixture.nowMs = 12_999;
+    fixture.freshness.check();
+    t.deepEqual(fixture.lines, []);
+    fixture.nowMs = 13_000;
+    fixture.freshness.check();
+    fixture.freshness.check();
     // A control process without contact to the quorum replies, but does not confirm the state.
-    all.freshness.confirm(9000, 'c1');
-    t.deepEqual(all.lines, [
+    fixture.freshness.confirm(9000, 'c1');
+    t.deepEqual(fixture.lines, [
       [
         'fleet state not confirmed',
         { step: 'configure', version: 7, ageMs: 3000, controls: ['c1'] },
       ],
     ]);
-    all.nowMs = 14_000;
-    all.freshness.confirm(13_900, 'c2');
-    t.is(all.freshness.ageMs, 100);
-    t.deepEqual(all.lines.at(-1), [
+    fixture.nowMs = 14_000;
+    fixture.freshness.confirm(13_900, 'c2');
+    t.is(fixture.freshness.ageMs, 100);
+    t.deepEqual(fixture.lines.at(-1), [
       'fleet state confirmed again',
       { step: 'configure', version: 7, peer: 'c2' },
     ]);
-    t.is(all.lines.length, 2);
+    t.is(fixture.lines.length, 2);
   });
 });
