--- a/packages/gateway/src/request-handler.ts
+++ b/packages/gateway/src/request-handler.ts
@@ -24,7 +24,7 @@
   readonly workspace: Workspace | undefined;
   /** Time for which the caller waits, from its request on; undefined if the caller did not say. */
   readonly timeLeftMs: number | undefined;
-  /** Time for which it was held at startup, as returned by {@link GatewayProcess.untilStarted}. */
+  /** Time for which the request was held while the entry started. */
   readonly heldMs: number;
 }
 
