--- a/packages/gateway/src/crash-reporter.ts
+++ b/packages/gateway/src/crash-reporter.ts
@@ -9,7 +9,10 @@
 import type { Logger } from '@shedline/logger';
 import type { BeginTrial, CrashUnderContent, RecordCrashes } from '@shedline/quarantine';
 
-/** The requests of a crashed endpoint break within ms of each other, and fit into one command. */
+/**
+ * Time for which reports are collected into one command: all requests at a crashed endpoint break
+ * within ms.
+ */
 const BATCH_WINDOW_MS = 10;
 const CALL_TIMEOUT_MS = 1000;
 const RETRY_PAUSE_MS = 100;
--- a/packages/gateway/src/item-run.ts
+++ b/packages/gateway/src/item-run.ts
@@ -45,7 +45,7 @@
   readonly startedAtMs: number;
   readonly result: Promise<SendResult>;
   /** Whether this run started from the beginning, not from the progress of previous runs. */
-  readonly isWhole: boolean;
+  readonly isFromStart: boolean;
   private readonly sending: RunningSend;
   private readonly pieces: string[];
   private lastEventId: string | undefined;
@@ -60,7 +60,7 @@
     this.address = address;
     this.ref = { jobId: granted.jobId, index: granted.index };
     this.startedAtMs = options.nowMs();
-    this.isWhole = granted.progress === undefined;
+    this.isFromStart = granted.progress === undefined;
     this.pieces = [...(granted.progress?.pieces ?? [])];
     this.lastEventId = granted.progress?.lastEventId;
     const request = callerRequestOf(granted);
--- a/packages/gateway/src/item-runner.ts
+++ b/packages/gateway/src/item-runner.ts
@@ -322,7 +322,7 @@
   private updateRunEstimates(run: ItemRun, route: Route): void {
     const state = this.stateOf(route);
     state.runEvents += RUN_SMOOTHING * (run.eventCount - state.runEvents);
-    if (!run.isWhole) return;
+    if (!run.isFromStart) return;
     const tookMs = this.options.nowMs() - run.startedAtMs;
     state.runMs += RUN_SMOOTHING * (tookMs - state.runMs);
   }
