--- a/packages/admission/src/admission.test.ts
+++ b/packages/admission/src/admission.test.ts
@@ -14,25 +14,25 @@
 const progress = fc.constantFrom<SendProgress>('notSent', 'refused', 'sent');
 
 describe('retries', () => {
-  test(title('"not run" is only said when no send can have run'), (t) => {
+  test(title('"not run" is reported only if no attempt can have run'), (t) => {
     fc.assert(
-      fc.property(fc.array(progress, { maxLength: 6 }), (sends) => {
-        t.is(ranAfter(sends) === 'no', !sends.includes('sent'));
+      fc.property(fc.array(progress, { maxLength: 6 }), (attempts) => {
+        t.is(ranAfter(attempts) === 'no', !attempts.includes('sent'));
       }),
       { seed: SEED },
     );
   });
 
-  test(title('a non-idempotent request goes out at most once'), (t) => {
+  test(title('a non-idempotent request is sent completely at most once'), (t) => {
     fc.assert(
       fc.property(fc.array(progress, { minLength: 1, maxLength: 8 }), (outcomes) => {
         let possiblyRun = 0;
-        for (const [position, outcome] of outcomes.entries()) {
+        for (const [index, outcome] of outcomes.entries()) {
           if (outcome === 'sent') possiblyRun += 1;
           const attempt = {
             progress: outcome,
             idempotent: false,
-            attempts: position + 1,
+            attempts: index + 1,
             maxAttempts: 99,
             leftMs: 1000,
             hasAlternative: true,
@@ -45,7 +45,7 @@
     );
   });
 
-  test(title('all sends stay within 1.2 times the requests and a saved remainder'), (t) => {
+  test(title('retries stay within a fifth of the requests plus the initial budget'), (t) => {
     fc.assert(
       fc.property(fc.array(fc.boolean(), { maxLength: 400 }), (events) => {
         const budget = new RetryBudget();
@@ -65,7 +65,7 @@
 });
 
 describe('limits', () => {
-  test(title('a bucket never lets through more than its rate and one second of burst'), (t) => {
+  test(title('a bucket never grants more than its rate plus one second of burst'), (t) => {
     fc.assert(
       fc.property(fc.array(fc.integer({ min: 0, max: 300 }), { maxLength: 100 }), (gaps) => {
         const bucket = new RateBucket();
@@ -81,7 +81,7 @@
     );
   });
 
-  test(title('concurrency never exceeds the share, and a refusal says when to come back'), (t) => {
+  test(title('concurrency never exceeds the share, and a refusal has a retry delay'), (t) => {
     const limits = new RowLimits(new QuotaHolder({ entryCount: 1 }));
     const row = { requestsPerSecond: 1000, concurrentRequests: 20, tokensPerSecond: 1000 };
     let admitted = 0;
@@ -95,7 +95,7 @@
     t.true(limits.admit('w/s', row, 2).admitted);
   });
 
-  test(title('tokens used beyond the rate are paid back before the next request'), (t) => {
+  test(title('tokens used beyond the rate delay the next request'), (t) => {
     const limits = new RowLimits(new QuotaHolder({ entryCount: 1 }));
     const row = { requestsPerSecond: 1000, concurrentRequests: 1000, tokensPerSecond: 500 };
     t.true(limits.admit('w/s', row, 0).admitted);
@@ -108,30 +108,37 @@
 describe('OverloadGate', () => {
   const request = { row: 'w/a', weight: 1, load: 0, capacity: 10, isOpenSession: false };
 
-  test(title('never refuses a turn of an open session, and refuses new ones when full'), (t) => {
-    fc.assert(
-      fc.property(fc.nat(100), fc.nat(20), fc.boolean(), (load, capacity, isOpenSession) => {
-        const answer = new OverloadGate().decide({ ...request, load, capacity, isOpenSession }, 0);
-        if (isOpenSession) t.true(answer.admitted);
-        else if (load >= capacity) t.false(answer.admitted);
-        if (!answer.admitted) t.true(answer.retryAfterMs >= 200 && answer.retryAfterMs <= 5000);
-      }),
-      { seed: SEED },
-    );
-  });
+  test(
+    title('never refuses requests of open sessions, and refuses new sessions when full'),
+    (t) => {
+      fc.assert(
+        fc.property(fc.nat(100), fc.nat(20), fc.boolean(), (load, capacity, isOpenSession) => {
+          const decision = new OverloadGate().decide(
+            { ...request, load, capacity, isOpenSession },
+            0,
+          );
+          if (isOpenSession) t.true(decision.admitted);
+          else if (load >= capacity) t.false(decision.admitted);
+          if (!decision.admitted)
+            t.true(decision.retryAfterMs >= 200 && decision.retryAfterMs <= 5000);
+        }),
+        { seed: SEED },
+      );
+    },
+  );
 
-  test(title('near full, the row above its weighted share is refused first'), (t) => {
+  test(title('near full utilization, the row above its weighted share is refused first'), (t) => {
     const gate = new OverloadGate();
-    for (let n = 0; n < 6; n += 1) gate.decide({ ...request, row: 'w/greedy' }, 0);
-    for (let n = 0; n < 2; n += 1) gate.decide({ ...request, row: 'w/modest' }, 0);
+    for (let n = 0; n < 6; n += 1) gate.decide({ ...request, row: 'w/above-share' }, 0);
+    for (let n = 0; n < 2; n += 1) gate.decide({ ...request, row: 'w/below-share' }, 0);
     const nearFull = { ...request, load: 9.5 };
-    t.false(gate.decide({ ...nearFull, row: 'w/greedy' }, 0).admitted);
-    t.true(gate.decide({ ...nearFull, row: 'w/modest' }, 0).admitted);
+    t.false(gate.decide({ ...nearFull, row: 'w/above-share' }, 0).admitted);
+    t.true(gate.decide({ ...nearFull, row: 'w/below-share' }, 0).admitted);
   });
 });
 
 describe('ConcurrencyLimit', () => {
-  test(title('shrinks while first tokens come late and grows back when they do not'), (t) => {
+  test(title('shrinks while first tokens exceed the target and grows again afterwards'), (t) => {
     const limit = new ConcurrencyLimit({ targetMs: 100, initial: 32, max: 64 });
     for (let n = 0; n < 120; n += 1) limit.sample(200, 32);
     const shrunk = limit.value;
--- a/packages/admission/src/caller-time-limits.ts
+++ b/packages/admission/src/caller-time-limits.ts
@@ -1,31 +1,31 @@
 /**
- * Tells how long ago a caller first asked. Callers say how long they will still wait; one that
- * comes back after a refusal has less time left than most.
+ * Estimates how long ago a caller sent its first attempt. Callers state how long they will still
+ * wait, and a caller that retries after a refusal has less time left than most.
  */
 
-/** Requests that the usual time is taken from. */
-const REMEMBERED = 32;
+/** Number of recent requests that the typical time is computed from. */
+const SAMPLE_COUNT = 32;
 /**
- * Share of the requests that have no more than the usual time: most are first attempts, a few
- * callers wait much longer than the others, and after a loss of power many come back.
+ * Quantile of the stated times that counts as typical. Most requests are first attempts, a few
+ * callers wait much longer than the others, and after a power loss many callers retry.
  */
-const USUAL_QUANTILE = 0.75;
+const TYPICAL_QUANTILE = 0.75;
 
-/** Time that the callers of one route allow. */
+/** Times that the callers of one route are willing to wait. */
 export class CallerTimeLimits {
   private readonly recentMs: number[] = [];
   private next = 0;
 
-  /** Notes the time that a caller says it will wait. */
+  /** Records the time that a caller will still wait. */
   note(timeLeftMs: number): void {
     this.recentMs[this.next] = timeLeftMs;
-    this.next = (this.next + 1) % REMEMBERED;
+    this.next = (this.next + 1) % SAMPLE_COUNT;
   }
 
-  /** Time since the first attempt of a caller that will wait this long, as far as it shows. */
+  /** Returns the estimated time since the first attempt of a caller that will wait this long. */
   ageMs(timeLeftMs: number): number {
     const sorted = [...this.recentMs].sort((a, b) => a - b);
-    const usualMs = sorted[Math.floor(sorted.length * USUAL_QUANTILE)] ?? timeLeftMs;
-    return Math.max(0, usualMs - timeLeftMs);
+    const typicalMs = sorted[Math.floor(sorted.length * TYPICAL_QUANTILE)] ?? timeLeftMs;
+    return Math.max(0, typicalMs - timeLeftMs);
   }
 }
--- a/packages/admission/src/concurrency-limit.ts
+++ b/packages/admission/src/concurrency-limit.ts
@@ -1,9 +1,11 @@
 /**
- * Learns how many requests an endpoint can run while its first tokens stay in time.
+ * Adaptive limit on the requests that an endpoint runs at once, so that the latency of first
+ * tokens stays below its target.
  */
 
 /** Options of {@link ConcurrencyLimit}. */
 export interface ConcurrencyLimitOptions {
+  /** Target for the first-token latency. */
   readonly targetMs: number;
   readonly initial: number;
   readonly max: number;
@@ -11,13 +13,13 @@
 }
 
 /** First-token latency, as a share of the target, up to which the limit may grow. */
-const COMFORT_SHARE = 0.6;
-/** Share above which the limit shrinks. */
-const STRAIN_SHARE = 0.9;
-const DECREASE = 0.85;
+const GROW_BELOW_SHARE = 0.6;
+/** First-token latency, as a share of the target, above which the limit shrinks. */
+const SHRINK_ABOVE_SHARE = 0.9;
+const DECREASE_FACTOR = 0.85;
 const WINDOW_SAMPLES = 12;
 
-/** Additive growth, multiplicative decrease, once for each window of samples. */
+/** Concurrency limit with additive increase and multiplicative decrease, once per sample window. */
 export class ConcurrencyLimit {
   private readonly targetMs: number;
   private readonly min: number;
@@ -33,32 +35,32 @@
     this.limit = Math.min(options.max, options.initial);
   }
 
-  /** Requests that the endpoint may run at once. */
+  /** Number of requests that the endpoint may run at once. */
   get value(): number {
     return this.limit;
   }
 
-  /** Takes the first-token latency of a request and the load that it met. */
+  /** Adds the first-token latency of a request, and the load of the endpoint when it was sent. */
   sample(latencyMs: number, load: number): void {
     this.samples.push(latencyMs);
     this.peakLoad = Math.max(this.peakLoad, load);
     if (this.samples.length < WINDOW_SAMPLES) return;
     const sorted = this.samples.sort((a, b) => a - b);
-    // The second largest of twelve stands for the 90th percentile.
-    const high = sorted[sorted.length - 2] ?? 0;
-    this.adjust(high);
+    // The second largest of twelve samples approximates the 90th percentile.
+    const highLatencyMs = sorted[sorted.length - 2] ?? 0;
+    this.adjust(highLatencyMs);
     this.samples = [];
     this.peakLoad = 0;
   }
 
-  private adjust(highMs: number): void {
-    if (highMs > this.targetMs * STRAIN_SHARE) {
-      this.limit = Math.max(this.min, this.limit * DECREASE);
+  private adjust(highLatencyMs: number): void {
+    if (highLatencyMs > this.targetMs * SHRINK_ABOVE_SHARE) {
+      this.limit = Math.max(this.min, this.limit * DECREASE_FACTOR);
       return;
     }
-    // Without load near the limit a good latency says nothing about a higher one.
-    const tested = this.peakLoad >= this.limit * COMFORT_SHARE;
-    if (tested && highMs < this.targetMs * COMFORT_SHARE) {
+    // A low latency justifies a higher limit only if the load came near the present limit.
+    const isLimitTested = this.peakLoad >= this.limit * GROW_BELOW_SHARE;
+    if (isLimitTested && highLatencyMs < this.targetMs * GROW_BELOW_SHARE) {
       this.limit = Math.min(this.max, this.limit + 1);
     }
   }
--- a/packages/admission/src/fair-queue-order.test.ts
+++ b/packages/admission/src/fair-queue-order.test.ts
@@ -1,89 +1,91 @@
 /**
- * Plays overloads of several shapes through one queue in three orders, and checks what the callers of each
- * workspace and rank get.
+ * Simulates several kinds of overload of one queue with three queue orders, and checks which share
+ * of the requests of each workspace and rank is served.
  */
 import test from 'ava';
 import { describe, seededRandom, title } from '@shedline/test-utils';
 import { FairQueueOrder } from './fair-queue-order.js';
 import type { QueuedRequest } from './fair-queue-order.js';
-import { compareTurns } from './wait-estimate.js';
+import { compareWaitingRequests } from './wait-estimate.js';
 
-/** Callers wait this long; later than the target an answer is late. */
+/** Time that callers wait for a response. */
 const DEADLINE_MS = 2000;
+/** A response within this time is on target. */
 const TARGET_MS = 300;
-const LENGTH_MS = 60_000;
-/** Requests that the endpoints run in a second. */
+const DURATION_MS = 60_000;
+/** Requests a second that the endpoints complete. */
 const CAPACITY_PER_S = 20;
 
-/** Requests a second of one workspace. */
+/** Request rate of one workspace. */
 interface Demand {
   readonly workspace: string;
   readonly rank: number;
   readonly perS: number;
 }
 
-interface Waiting {
+interface QueueItem {
   readonly request: QueuedRequest;
 }
 
-/** Who goes first, in one of the ways weighed. */
-interface TurnOrder {
+/** One of the compared queue orders. */
+interface QueueOrder {
   readonly name: string;
   asked(rank: number, nowMs: number): void;
   served(request: QueuedRequest, nowMs: number): void;
-  order(waiting: readonly Waiting[], nowMs: number): Waiting[];
+  order(waiting: readonly QueueItem[], nowMs: number): QueueItem[];
 }
 
-class SoonestLateFirst implements TurnOrder {
-  readonly name: string = 'soonest late first';
+class EarliestTargetFirst implements QueueOrder {
+  readonly name: string = 'earliest target first';
 
   asked(): void {
-    // Nothing is remembered.
+    // This order keeps no state.
   }
 
   served(): void {
-    // Nothing is remembered.
+    // This order keeps no state.
   }
 
-  order(waiting: readonly Waiting[], nowMs: number): Waiting[] {
-    return [...waiting].sort((a, b) => compareTurns(a.request, b.request, nowMs));
+  order(waiting: readonly QueueItem[], nowMs: number): QueueItem[] {
+    return [...waiting].sort((a, b) => compareWaitingRequests(a.request, b.request, nowMs));
   }
 }
 
-/** Whoever was served least goes first, whenever it becomes late. */
-class LeastServedFirst extends SoonestLateFirst {
-  override readonly name = 'workspace in turn, whenever late';
-  private readonly turns = new Map<string, number>();
+/** Orders by rank and by how often the workspace was served, regardless of targets. */
+class LeastServedWorkspaceFirst extends EarliestTargetFirst {
+  override readonly name = 'least served workspace first';
+  private readonly servedCounts = new Map<string, number>();
 
-  override order(waiting: readonly Waiting[], nowMs: number): Waiting[] {
-    const turnOf = ({ request }: Waiting): number => this.turns.get(request.workspace ?? '') ?? 0;
+  override order(waiting: readonly QueueItem[], nowMs: number): QueueItem[] {
+    const servedCountOf = ({ request }: QueueItem): number =>
+      this.servedCounts.get(request.workspace ?? '') ?? 0;
     const ordered = [...waiting].sort(
       (a, b) =>
         a.request.rank - b.request.rank ||
-        turnOf(a) - turnOf(b) ||
-        compareTurns(a.request, b.request, nowMs),
+        servedCountOf(a) - servedCountOf(b) ||
+        compareWaitingRequests(a.request, b.request, nowMs),
     );
     const first = ordered[0]?.request.workspace;
-    if (first !== undefined) this.turns.set(first, (this.turns.get(first) ?? 0) + 1);
+    if (first !== undefined) this.servedCounts.set(first, (this.servedCounts.get(first) ?? 0) + 1);
     return ordered;
   }
 }
 
-class Fair extends FairQueueOrder implements TurnOrder {
-  readonly name = 'both';
+class FairOrder extends FairQueueOrder implements QueueOrder {
+  readonly name = 'fair order';
 }
 
 interface Counts {
-  asked: number;
-  onTime: number;
+  arrived: number;
+  withinTarget: number;
   served: number;
 }
 
-function play(turns: TurnOrder, demands: readonly Demand[]): Map<string, Counts> {
+function simulate(queueOrder: QueueOrder, demands: readonly Demand[]): Map<string, Counts> {
   const counts = new Map<string, Counts>();
   const random = seededRandom(1);
-  let waiting: Waiting[] = [];
-  for (let nowMs = 0; nowMs < LENGTH_MS; nowMs += 1) {
+  let waiting: QueueItem[] = [];
+  for (let nowMs = 0; nowMs < DURATION_MS; nowMs += 1) {
     demands.forEach((demand) => {
       if (random() < demand.perS / 1000) {
         const { workspace, rank } = demand;
@@ -94,89 +96,92 @@
           deadlineMs: nowMs + DEADLINE_MS,
         };
         waiting.push({ request });
-        turns.asked(rank, nowMs);
-        countOf(counts, workspace).asked += 1;
+        queueOrder.asked(rank, nowMs);
+        countOf(counts, workspace).arrived += 1;
       }
     });
     waiting = waiting.filter(({ request }) => request.deadlineMs > nowMs);
     if (nowMs % (1000 / CAPACITY_PER_S) !== 0) continue;
-    const [first, ...others] = turns.order(waiting, nowMs);
+    const [first, ...others] = queueOrder.order(waiting, nowMs);
     if (first === undefined) continue;
     waiting = others;
-    turns.served(first.request, nowMs);
+    queueOrder.served(first.request, nowMs);
     const count = countOf(counts, first.request.workspace ?? '');
     count.served += 1;
-    if (first.request.onTimeUntilMs >= nowMs) count.onTime += 1;
+    if (first.request.onTimeUntilMs >= nowMs) count.withinTarget += 1;
   }
   return counts;
 }
 
 function countOf(counts: Map<string, Counts>, workspace: string): Counts {
-  const known = counts.get(workspace) ?? { asked: 0, onTime: 0, served: 0 };
+  const known = counts.get(workspace) ?? { arrived: 0, withinTarget: 0, served: 0 };
   counts.set(workspace, known);
   return known;
 }
 
 function shareOf(counts: Map<string, Counts>, names: readonly string[]): number {
   const own = names.flatMap((name) => counts.get(name) ?? []);
-  const asked = own.reduce((sum, count) => sum + count.asked, 0);
-  return own.reduce((sum, count) => sum + count.served, 0) / asked;
+  const arrived = own.reduce((sum, count) => sum + count.arrived, 0);
+  return own.reduce((sum, count) => sum + count.served, 0) / arrived;
 }
 
-const small = (count: number, rank: number, perS: number): Demand[] =>
+const smallDemands = (count: number, rank: number, perS: number): Demand[] =>
   Array.from({ length: count }, (_, index) => ({ workspace: `s${rank}-${index}`, rank, perS }));
 
 const LOADS: readonly { readonly name: string; readonly demands: readonly Demand[] }[] = [
   {
-    name: 'one workspace floods',
-    demands: [{ workspace: 'big', rank: 1, perS: 40 }, ...small(8, 1, 1)],
+    name: 'one workspace sends too much',
+    demands: [{ workspace: 'big', rank: 1, perS: 40 }, ...smallDemands(8, 1, 1)],
   },
-  { name: 'all ask too much alike', demands: small(10, 1, 4) },
+  { name: 'all workspaces send too much equally', demands: smallDemands(10, 1, 4) },
   {
-    name: 'the more urgent rank floods',
-    demands: [{ workspace: 'big', rank: 0, perS: 60 }, ...small(8, 1, 1)],
+    name: 'the more urgent rank sends too much',
+    demands: [{ workspace: 'big', rank: 0, perS: 60 }, ...smallDemands(8, 1, 1)],
   },
   {
-    name: 'the less urgent rank floods',
-    demands: [{ workspace: 'big', rank: 2, perS: 60 }, ...small(8, 1, 1)],
+    name: 'the less urgent rank sends too much',
+    demands: [{ workspace: 'big', rank: 2, perS: 60 }, ...smallDemands(8, 1, 1)],
   },
   {
-    name: 'three ranks, four times too much',
-    demands: [...small(6, 0, 5), ...small(6, 1, 5), ...small(6, 2, 5)],
+    name: 'three ranks at four times the capacity',
+    demands: [...smallDemands(6, 0, 5), ...smallDemands(6, 1, 5), ...smallDemands(6, 2, 5)],
   },
 ];
 
-describe('turns under more work than fits', () => {
+describe('queue order under overload', () => {
   for (const { name, demands } of LOADS) {
     test(title(name), (t) => {
       const names = demands.map(({ workspace }) => workspace);
-      for (const turns of [new SoonestLateFirst(), new LeastServedFirst()]) {
-        const other = play(turns, demands);
-        t.log(turns.name, ...summary(other, demands));
+      for (const queueOrder of [new EarliestTargetFirst(), new LeastServedWorkspaceFirst()]) {
+        const otherCounts = simulate(queueOrder, demands);
+        t.log(queueOrder.name, ...summary(otherCounts, demands));
       }
-      const counts = play(new Fair(), demands);
-      t.log('both', ...summary(counts, demands));
-      const whole = shareOf(counts, names);
+      const counts = simulate(new FairOrder(), demands);
+      t.log('fair order', ...summary(counts, demands));
+      const overallShare = shareOf(counts, names);
       for (const { workspace, rank } of demands) {
-        const alike = demands.filter((one) => one.rank === rank && one.workspace !== workspace);
+        const sameRank = demands.filter(
+          (demand) => demand.rank === rank && demand.workspace !== workspace,
+        );
         const own = shareOf(counts, [workspace]);
-        t.true(own >= whole / 3, `${workspace} ${own} of ${whole}`);
-        if (alike.length === 0) continue;
-        const others = shareOf(
+        t.true(own >= overallShare / 3, `${workspace} ${own} of ${overallShare}`);
+        if (sameRank.length === 0) continue;
+        const othersShare = shareOf(
           counts,
-          alike.map((one) => one.workspace),
+          sameRank.map((demand) => demand.workspace),
         );
-        // One that floods asks for more than its share; nobody else of its rank may pay for that.
-        if (workspace !== 'big') t.true(own >= others / 2, `${workspace} ${own}, others ${others}`);
+        // `big` exceeds its fair share; the other workspaces of its rank must not lose theirs.
+        if (workspace !== 'big')
+          t.true(own >= othersShare / 2, `${workspace} ${own}, others ${othersShare}`);
       }
     });
   }
 
-  test(title('nobody waits for long where half of the capacity is used'), (t) => {
-    const demands = [{ workspace: 'big', rank: 1, perS: 6 }, ...small(8, 1, 0.5)];
-    const counts = play(new Fair(), demands);
-    // The aim of days without trouble.
-    for (const { asked, onTime } of counts.values()) t.true(onTime >= 0.95 * asked);
+  test(title('requests meet the target while half of the capacity is used'), (t) => {
+    const demands = [{ workspace: 'big', rank: 1, perS: 6 }, ...smallDemands(8, 1, 0.5)];
+    const counts = simulate(new FairOrder(), demands);
+    // The target share under normal load.
+    for (const { arrived, withinTarget } of counts.values()) t.true(withinTarget >= 0.95 * arrived);
   });
 });
 
@@ -186,7 +191,7 @@
     const key = workspace === 'big' ? 'big' : `rank ${rank}`;
     groups.set(key, [...(groups.get(key) ?? []), workspace]);
   }
-  const onTime = [...counts.values()].reduce((sum, count) => sum + count.onTime, 0);
+  const withinTarget = [...counts.values()].reduce((sum, count) => sum + count.withinTarget, 0);
   const served = [...groups].map(([key, own]) => `${key} ${shareOf(counts, own).toFixed(2)}`);
-  return [`on time ${onTime}, served:`, served.join(', ')];
+  return [`within target ${withinTarget}, served:`, served.join(', ')];
 }
--- a/packages/admission/src/fair-queue-order.ts
+++ b/packages/admission/src/fair-queue-order.ts
@@ -1,120 +1,129 @@
 /**
- * Order of the requests that wait at one entry, so that neither a workspace that floods nor one of a more urgent
- * rank takes everything. It answers loads beyond what the endpoints can run: below that hardly anybody waits, and
- * the order is by when each becomes late.
+ * Fair order of the requests that wait at one entry: neither a workspace that sends too much nor a
+ * more urgent rank can take all capacity. It matters under overload; below that few requests wait,
+ * and they are ordered by their target.
  */
-import { compareTurns, timelinessOf } from './wait-estimate.js';
+import { compareWaitingRequests, timelinessOf } from './wait-estimate.js';
 import type { WaitingRequest } from './wait-estimate.js';
 
-/** A request that waits, and for whom. */
+/** A waiting request and the workspace that sent it. */
 export interface QueuedRequest extends WaitingRequest {
-  /** Undefined where callers show no key; all of these count as one. */
+  /** Undefined if callers present no key; all such requests count as one workspace. */
   readonly workspace?: string;
 }
 
-/** Time over which it is counted who asked and who was served; some peaks of traffic. */
-const MEMORY_MS = 5000;
+/** Time constant of the exponentially decaying counts; it covers several traffic peaks. */
+const DECAY_TIME_MS = 5000;
 /**
- * Share of how often all are served below which a rank gets the next turn, whatever waits before it. No rank
- * may be served less than a third as often as all; what is counted late and forgotten needs the difference.
+ * A rank is starved if the share of its requests that are served falls below this part of the
+ * share over all ranks. No rank may fall below a third; the margin covers the delay and the decay
+ * of the counts.
  */
-const STARVED_SHARE = 0.45;
-/** Requests of a rank below which nothing is said of how often it is served. */
-const FEW_REQUESTS = 3;
+const STARVED_SERVICE_SHARE = 0.45;
+/** Decayed count of a rank's requests below which it never counts as starved. */
+const MIN_RANK_REQUESTS = 3;
 
-/** Part of a request below which it is forgotten that a workspace was served. */
-const FORGOTTEN = 0.05;
+/** Decayed count of served requests below which the count of a workspace is removed. */
+const MIN_SERVED_COUNT = 0.05;
 
-interface Served {
-  asked: number;
+/** Exponentially decaying counts of requests. */
+interface ServiceCounts {
+  arrived: number;
   served: number;
 }
 
-/** Whose turn it is at one entry. */
+/** Orders the waiting requests of one entry by what was served recently. */
 export class FairQueueOrder {
-  private readonly byRank = new Map<number, Served>();
-  private readonly all: Served = { asked: 0, served: 0 };
-  /** Requests of each workspace that were served of late. */
-  private readonly servedOf = new Map<string, number>();
+  private readonly byRank = new Map<number, ServiceCounts>();
+  private readonly total: ServiceCounts = { arrived: 0, served: 0 };
+  /** Decayed count of served requests by workspace. */
+  private readonly servedByWorkspace = new Map<string, number>();
   private countedAtMs = 0;
 
-  /** Notes that a request came. */
+  /** Records the arrival of a request. */
   asked(rank: number, nowMs: number): void {
-    this.fade(nowMs);
-    this.countOf(rank).asked += 1;
-    this.all.asked += 1;
+    this.decay(nowMs);
+    this.countsOf(rank).arrived += 1;
+    this.total.arrived += 1;
   }
 
-  /** Notes that a request got its endpoint. */
+  /** Records that a request was assigned to an endpoint. */
   served({ rank, workspace = '' }: QueuedRequest, nowMs: number): void {
-    this.fade(nowMs);
-    this.countOf(rank).served += 1;
-    this.all.served += 1;
-    this.servedOf.set(workspace, (this.servedOf.get(workspace) ?? 0) + 1);
+    this.decay(nowMs);
+    this.countsOf(rank).served += 1;
+    this.total.served += 1;
+    this.servedByWorkspace.set(workspace, (this.servedByWorkspace.get(workspace) ?? 0) + 1);
   }
 
   /**
-   * The order of turns: by rank and lateness as {@link compareTurns}; within these by what the workspace was served of late
-   * and has waiting before; then the soonest late first. The first of a rank that is starved goes before all.
+   * Returns the requests in the order in which they get an endpoint: by rank and timeliness as in
+   * {@link compareWaitingRequests}; within these by how many requests of the workspace were served
+   * recently or are queued before it; then by {@link compareWaitingRequests}. The first request of
+   * a starved rank goes before all others.
    */
   order<T extends { readonly request: QueuedRequest }>(waiting: readonly T[], nowMs: number): T[] {
-    this.fade(nowMs);
-    const places = new Map<T, number>();
-    const next = new Map<string, number>();
-    const soonest = [...waiting].sort((a, b) => compareTurns(a.request, b.request, nowMs));
-    for (const one of soonest) {
-      const { workspace = '' } = one.request;
-      const place = next.get(workspace) ?? this.servedOf.get(workspace) ?? 0;
-      next.set(workspace, place + 1);
-      places.set(one, place);
+    this.decay(nowMs);
+    const positions = new Map<T, number>();
+    const nextPositions = new Map<string, number>();
+    const byTarget = [...waiting].sort((a, b) =>
+      compareWaitingRequests(a.request, b.request, nowMs),
+    );
+    for (const item of byTarget) {
+      const { workspace = '' } = item.request;
+      const position = nextPositions.get(workspace) ?? this.servedByWorkspace.get(workspace) ?? 0;
+      nextPositions.set(workspace, position + 1);
+      positions.set(item, position);
     }
-    const ordered = soonest.sort((a, b) => {
-      const isAlike = classOf(a.request, nowMs) === classOf(b.request, nowMs);
-      const byPlace = (places.get(a) ?? 0) - (places.get(b) ?? 0);
-      return (isAlike ? byPlace : 0) || compareTurns(a.request, b.request, nowMs);
+    const ordered = byTarget.sort((a, b) => {
+      const isSameClass = orderingClassOf(a.request, nowMs) === orderingClassOf(b.request, nowMs);
+      const byPosition = (positions.get(a) ?? 0) - (positions.get(b) ?? 0);
+      return (isSameClass ? byPosition : 0) || compareWaitingRequests(a.request, b.request, nowMs);
     });
-    return this.starvedFirst(ordered);
+    return this.moveStarvedFirst(ordered);
   }
 
-  private starvedFirst<T extends { readonly request: QueuedRequest }>(ordered: T[]): T[] {
+  private moveStarvedFirst<T extends { readonly request: QueuedRequest }>(ordered: T[]): T[] {
     const firstRank = ordered[0]?.request.rank;
-    const place = ordered.findIndex(
+    const index = ordered.findIndex(
       ({ request }) => request.rank !== firstRank && this.isStarved(request.rank),
     );
-    if (place <= 0) return ordered;
-    const [starved] = ordered.splice(place, 1);
+    if (index <= 0) return ordered;
+    const [starved] = ordered.splice(index, 1);
     return starved === undefined ? ordered : [starved, ...ordered];
   }
 
   private isStarved(rank: number): boolean {
-    const { asked, served } = this.countOf(rank);
-    if (asked < FEW_REQUESTS) return false;
-    return served / asked < (STARVED_SHARE * this.all.served) / Math.max(1, this.all.asked);
+    const { arrived, served } = this.countsOf(rank);
+    if (arrived < MIN_RANK_REQUESTS) return false;
+    return (
+      served / arrived <
+      (STARVED_SERVICE_SHARE * this.total.served) / Math.max(1, this.total.arrived)
+    );
   }
 
-  private fade(nowMs: number): void {
-    const factor = Math.exp(-Math.max(0, nowMs - this.countedAtMs) / MEMORY_MS);
+  private decay(nowMs: number): void {
+    const factor = Math.exp(-Math.max(0, nowMs - this.countedAtMs) / DECAY_TIME_MS);
     this.countedAtMs = nowMs;
-    for (const count of [this.all, ...this.byRank.values()]) {
-      count.asked *= factor;
+    for (const count of [this.total, ...this.byRank.values()]) {
+      count.arrived *= factor;
       count.served *= factor;
     }
-    for (const [workspace, served] of this.servedOf) {
-      if (served < FORGOTTEN) this.servedOf.delete(workspace);
-      else this.servedOf.set(workspace, served * factor);
+    for (const [workspace, served] of this.servedByWorkspace) {
+      if (served < MIN_SERVED_COUNT) this.servedByWorkspace.delete(workspace);
+      else this.servedByWorkspace.set(workspace, served * factor);
     }
   }
 
-  private countOf(rank: number): Served {
+  private countsOf(rank: number): ServiceCounts {
     const known = this.byRank.get(rank);
     if (known !== undefined) return known;
-    const fresh = { asked: 0, served: 0 };
+    const fresh = { arrived: 0, served: 0 };
     this.byRank.set(rank, fresh);
     return fresh;
   }
 }
 
-/** Requests of a class are told apart by workspace first: rank, and whether they are late already. */
-function classOf(turn: QueuedRequest, nowMs: number): string {
-  return `${turn.rank} ${timelinessOf(turn, nowMs)}`;
+/** Returns a key of rank and timeliness; requests with the same key are ordered by workspace. */
+function orderingClassOf(request: QueuedRequest, nowMs: number): string {
+  return `${request.rank} ${timelinessOf(request, nowMs)}`;
 }
--- a/packages/admission/src/index.ts
+++ b/packages/admission/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * Admission decisions: limits, quota leases, overload, retries.
+ * Admission decisions: limits, quota leases, overload, queue order and retries.
  */
 export * from './concurrency-limit.js';
 export * from './overload-gate.js';
--- a/packages/admission/src/overload-gate.ts
+++ b/packages/admission/src/overload-gate.ts
@@ -1,28 +1,28 @@
 /**
- * Refuses work when the endpoints of a model are full: new sessions first, by weight, at
- * once, and never a turn of an open session.
+ * Refuses requests when the endpoints of a model are full. Requests of open sessions are never
+ * refused; near full utilization, rows that exceed their weighted share are refused first.
  */
 
-/** A request at the gate. */
+/** Input of {@link OverloadGate.decide}. */
 export interface GateRequest {
   readonly row: string;
   readonly weight: number;
-  /** A turn of a session that is open already. */
+  /** Whether the request belongs to a session that is already open. */
   readonly isOpenSession: boolean;
   /** Online requests under way at the endpoints of the model. */
   readonly load: number;
-  /** Requests that these endpoints can run while their latencies stay in time. */
+  /** Requests that these endpoints can run at once within their latency targets. */
   readonly capacity: number;
 }
 
-/** Answer of the gate. */
-export type GateAnswer =
+/** Result of {@link OverloadGate.decide}. */
+export type GateDecision =
   { readonly admitted: true } | { readonly admitted: false; readonly retryAfterMs: number };
 
-/** Utilization from which rows above their share are refused. */
-const FULL = 0.9;
+/** Utilization from which rows that exceed their share are refused. */
+const HIGH_UTILIZATION = 0.9;
 /** Utilization from which every new session is refused. */
-const OVERFULL = 1;
+const FULL_UTILIZATION = 1;
 const MIN_RETRY_MS = 200;
 const MAX_RETRY_MS = 5000;
 const SHARE_WINDOW_MS = 2000;
@@ -30,66 +30,66 @@
 interface RowActivity {
   weight: number;
   running: number;
-  seenAtMs: number;
+  lastSeenAtMs: number;
 }
 
-/** Decides on overload, for one pool of endpoints. */
+/** Overload decisions for one pool of endpoints. */
 export class OverloadGate {
   private readonly rows = new Map<string, RowActivity>();
-  private refusedInRow = 0;
+  private consecutiveRefusals = 0;
 
-  /** Admits or refuses a request. */
-  decide(request: GateRequest, nowMs: number): GateAnswer {
+  /** Admits or refuses a request; {@link finished} must be called for each admitted request. */
+  decide(request: GateRequest, nowMs: number): GateDecision {
     const activity = this.activityOf(request, nowMs);
     const utilization = request.capacity <= 0 ? Infinity : request.load / request.capacity;
     const admitted =
       request.isOpenSession ||
-      utilization < FULL ||
-      (utilization < OVERFULL && this.isWithinShare(activity, request.capacity, nowMs));
+      utilization < HIGH_UTILIZATION ||
+      (utilization < FULL_UTILIZATION && this.isWithinShare(activity, request.capacity, nowMs));
     if (!admitted) {
-      this.refusedInRow += 1;
+      this.consecutiveRefusals += 1;
       return { admitted: false, retryAfterMs: this.retryAfterMs(utilization) };
     }
-    this.refusedInRow = 0;
+    this.consecutiveRefusals = 0;
     activity.running += 1;
     return { admitted: true };
   }
 
-  /** Notes that an admitted request ended. */
+  /** Records that an admitted request ended. */
   finished(row: string): void {
     const activity = this.rows.get(row);
     if (activity !== undefined) activity.running = Math.max(0, activity.running - 1);
   }
 
   private activityOf(request: GateRequest, nowMs: number): RowActivity {
-    const known = this.rows.get(request.row) ?? { weight: 1, running: 0, seenAtMs: 0 };
+    const known = this.rows.get(request.row) ?? { weight: 1, running: 0, lastSeenAtMs: 0 };
     known.weight = request.weight;
-    known.seenAtMs = nowMs;
+    known.lastSeenAtMs = nowMs;
     this.rows.set(request.row, known);
     return known;
   }
 
-  /** Shares are counted among the rows that were active lately at this entry. */
+  /** Whether a row is below its share among the rows that were recently active at this entry. */
   private isWithinShare(activity: RowActivity, capacity: number, nowMs: number): boolean {
     let weights = 0;
     let running = 0;
     for (const [row, other] of this.rows) {
-      if (other.running === 0 && nowMs - other.seenAtMs > SHARE_WINDOW_MS) {
+      if (other.running === 0 && nowMs - other.lastSeenAtMs > SHARE_WINDOW_MS) {
         this.rows.delete(row);
         continue;
       }
       weights += other.weight;
       running += other.running;
     }
-    // This entry's part of the capacity is taken to be what it runs now, and a little more.
+    // This entry's part of the capacity is estimated as what it runs now plus one request.
     const ownCapacity = Math.min(capacity, running + 1);
     return activity.running < (ownCapacity * activity.weight) / weights;
   }
 
-  /** The deeper the overload, the later a caller should come back. */
+  /** Returns a retry delay that grows with the overload and with consecutive refusals. */
   private retryAfterMs(utilization: number): number {
     const excess = Number.isFinite(utilization) ? utilization : 2;
-    const waitMs = MIN_RETRY_MS * excess + 10 * this.refusedInRow;
+    const waitMs = MIN_RETRY_MS * excess + 10 * this.consecutiveRefusals;
     return Math.min(MAX_RETRY_MS, Math.ceil(waitMs));
   }
 }
--- a/packages/admission/src/quota.test.ts
+++ b/packages/admission/src/quota.test.ts
@@ -10,8 +10,8 @@
 const SLACK = 1e-6;
 const ROW = 'w/s|concurrentRequests';
 
-/** An owner that grants without a majority behind it. */
-class HastyOwner extends QuotaOwner {
+/** An owner that grants without the support of a majority. */
+class OwnerWithoutMajority extends QuotaOwner {
   protected override mayGrant(): boolean {
     return true;
   }
@@ -23,36 +23,37 @@
   owner: QuotaOwner;
   preferred: string;
   epoch: number;
-  nextAskMs: number;
+  nextRequestAtMs: number;
 }
 
 type CreateOwner = (options: { entryCount: number; epoch: string }) => QuotaOwner;
 
-interface Plan {
+/** A schedule of faults; `entryIndex` selects the affected entry, modulo the number of entries. */
+interface FaultPlan {
   readonly seed: number;
   readonly entryCount: number;
   readonly faults: readonly {
-    kind: 'split' | 'heal' | 'restart' | 'turn';
-    pick: number;
-    thenMs: number;
+    kind: 'split' | 'heal' | 'restart' | 'changeOwner';
+    entryIndex: number;
+    durationMs: number;
   }[];
 }
 
-const plan: fc.Arbitrary<Plan> = fc.record({
+const plan: fc.Arbitrary<FaultPlan> = fc.record({
   seed: fc.nat(),
   entryCount: fc.integer({ min: 1, max: 7 }),
   faults: fc.array(
     fc.record({
-      kind: fc.constantFrom('split', 'heal', 'restart', 'turn'),
-      pick: fc.nat(),
-      thenMs: fc.integer({ min: 50, max: 3000 }),
+      kind: fc.constantFrom('split', 'heal', 'restart', 'changeOwner'),
+      entryIndex: fc.nat(),
+      durationMs: fc.integer({ min: 50, max: 3000 }),
     }),
     { minLength: 1, maxLength: 12 },
   ),
 });
 
-/** Plays a plan with late messages; gives the highest sum of all shares at any moment. */
-function highestSum({ seed, entryCount, faults }: Plan, create: CreateOwner): number {
+/** Runs a plan with delayed messages; returns the highest sum of all shares at any time. */
+function highestSum({ seed, entryCount, faults }: FaultPlan, create: CreateOwner): number {
   const random = seededRandom(seed);
   const entries = Array.from({ length: entryCount }, (_, index): Entry => {
     const name = `e${index}`;
@@ -63,24 +64,25 @@
       owner,
       preferred: 'e0',
       epoch: 0,
-      nextAskMs: 0,
+      nextRequestAtMs: 0,
     };
   });
   const messages: { dueMs: number; deliver: () => void }[] = [];
-  let sides: (name: string) => number = () => 0;
+  let partitionOf: (name: string) => number = () => 0;
   let nowMs = 0;
   let highest = 0;
   const send = (from: string, to: string, deliver: () => void): void => {
-    if (sides(from) === sides(to)) messages.push({ dueMs: nowMs + random() * 900, deliver });
+    if (partitionOf(from) === partitionOf(to))
+      messages.push({ dueMs: nowMs + random() * 900, deliver });
   };
-  const ask = (entry: Entry): void => {
+  const sendRequest = (entry: Entry): void => {
     const ownerName = entry.holder.ownerToAsk(entry.preferred, nowMs);
     const owner = entries.find((candidate) => candidate.name === ownerName);
     if (ownerName === undefined || owner === undefined) return;
-    const askedAtMs = nowMs;
+    const requestedAtMs = nowMs;
     const token = entry.holder.lastToken;
     const demand = random() * LIMIT * 1.5;
-    const question: QuotaRequest = {
+    const request: QuotaRequest = {
       entry: entry.name,
       row: ROW,
       demand,
@@ -89,9 +91,9 @@
       ...(token ? { token } : {}),
     };
     send(entry.name, ownerName, () => {
-      const answer: QuotaAnswer = owner.owner.ask(question, nowMs);
+      const reply: QuotaAnswer = owner.owner.ask(request, nowMs);
       send(ownerName, entry.name, () => {
-        entry.holder.answered(ownerName, ROW, answer, askedAtMs);
+        entry.holder.answered(ownerName, ROW, reply, requestedAtMs);
       });
     });
   };
@@ -102,9 +104,9 @@
         due.deliver();
       }
       for (const entry of entries) {
-        if (nowMs < entry.nextAskMs) continue;
-        entry.nextAskMs = nowMs + 100 + random() * 200;
-        ask(entry);
+        if (nowMs < entry.nextRequestAtMs) continue;
+        entry.nextRequestAtMs = nowMs + 100 + random() * 200;
+        sendRequest(entry);
       }
       const sum = entries.reduce(
         (total, { holder }) => total + holder.allowance(ROW, LIMIT, nowMs),
@@ -114,37 +116,36 @@
     }
   };
   run(3 * LEASE_MS);
-  for (const { kind, pick, thenMs } of faults) {
-    const chosen = entries[pick % entryCount];
+  for (const { kind, entryIndex, durationMs } of faults) {
+    const chosen = entries[entryIndex % entryCount];
     if (chosen === undefined) continue;
     if (kind === 'split') {
-      sides = (name) => (Number(name.slice(1)) * 7 + pick) % 2;
+      partitionOf = (name) => (Number(name.slice(1)) * 7 + entryIndex) % 2;
       for (const entry of entries) {
         entry.preferred =
-          entries.find((other) => sides(other.name) === sides(entry.name))?.name ?? entry.name;
+          entries.find((other) => partitionOf(other.name) === partitionOf(entry.name))?.name ??
+          entry.name;
       }
     }
-    if (kind === 'heal') sides = () => 0;
-    if (kind === 'turn')
+    if (kind === 'heal') partitionOf = () => 0;
+    if (kind === 'changeOwner')
       for (const entry of entries) if (random() < 0.7) entry.preferred = chosen.name;
     if (kind === 'restart') {
       chosen.epoch += 1;
       chosen.owner = create({ entryCount, epoch: `${chosen.name}.${chosen.epoch}` });
     }
-    run(thenMs);
+    run(durationMs);
   }
   return highest;
 }
 
 describe('quota leases', () => {
   test(
-    title(
-      'the sum of all shares never exceeds the limit under splits, lost owners and late messages',
-    ),
+    title('the sum of all shares never exceeds the limit under partitions, restarts and delays'),
     (t) => {
       const property = fc.property(
         plan,
-        (p) => highestSum(p, (options) => new QuotaOwner(options)) <= LIMIT + SLACK,
+        (faultPlan) => highestSum(faultPlan, (options) => new QuotaOwner(options)) <= LIMIT + SLACK,
       );
       t.notThrows(() => {
         fc.assert(property, { seed: 3, numRuns: 400 });
@@ -155,31 +156,32 @@
   test(title('an owner that grants without a majority exceeds the limit'), (t) => {
     const property = fc.property(
       plan,
-      (p) => highestSum(p, (options) => new HastyOwner(options)) <= LIMIT + SLACK,
+      (faultPlan) =>
+        highestSum(faultPlan, (options) => new OwnerWithoutMajority(options)) <= LIMIT + SLACK,
     );
     t.true(fc.check(property, { seed: 3, numRuns: 400, endOnFailure: true }).failed);
   });
 
-  test(title('an idle share is free for others within about a lease'), (t) => {
+  test(title('an unused share is available to others after about one lease period'), (t) => {
     const owner = new QuotaOwner({ entryCount: 2, epoch: 'o' });
     let token: QuotaAnswer['token'] | undefined;
     let granted = 0;
-    const ask = (entry: string, demand: number, nowMs: number): number => {
-      const answer = owner.ask(
+    const request = (entry: string, demand: number, nowMs: number): number => {
+      const reply = owner.ask(
         { entry, row: ROW, demand, limit: LIMIT, revision: 1, ...(token ? { token } : {}) },
         nowMs,
       );
-      token = answer.token;
-      return answer.granted;
+      token = reply.token;
+      return reply.granted;
     };
     for (let nowMs = 0; nowMs < 4000; nowMs += 100) {
-      ask('a', 200, nowMs);
-      granted = ask('b', 200, nowMs);
+      request('a', 200, nowMs);
+      granted = request('b', 200, nowMs);
     }
     t.is(Math.round(granted), 40);
     for (let nowMs = 4000; nowMs < 5200; nowMs += 100) {
-      ask('a', 0, nowMs);
-      granted = ask('b', 200, nowMs);
+      request('a', 0, nowMs);
+      granted = request('b', 200, nowMs);
     }
     t.is(Math.round(granted), 80);
   });
--- a/packages/admission/src/quota.ts
+++ b/packages/admission/src/quota.ts
@@ -1,45 +1,45 @@
 /**
  * Limits that hold over all entries: one owner per row leases shares of each limit to the
- * entries that ask.
+ * entries that request them.
  *
  * A part of each limit is split evenly and needs no owner: an entry may always use its part.
- * The owner leases out the rest by demand, under these rules, by which the sum of all shares
- * never exceeds the limit, whoever is lost or cut off:
+ * The owner leases the rest by demand, under these rules, by which the sum of all shares never
+ * exceeds the limit, whichever processes fail or are partitioned:
  *
  * 1. An owner grants only while more than half of all configured entries support it, and
- *    only after that has held for a whole lease period, so that what an earlier owner granted
- *    has run out.
- * 2. Support is dated by the owner's own clock: an ask counts from the moment at which the
- *    owner gave out the token that the ask brings back. A late message proves nothing new.
- * 3. An entry that turns to another owner first lets a lease period pass after its last ask.
+ *    only after that has held for a whole lease period, so that all grants of an earlier owner
+ *    have expired.
+ * 2. Support is dated by the owner's own clock: a request counts from the time at which the owner
+ *    issued the token that the request carries. A delayed message thus adds no new support.
+ * 3. An entry that changes to another owner first waits for a lease period after its last request.
  */
-/** Time that a share lasts, and that an entry waits before it asks another owner. */
+/** Lease period: lifetime of a share, and wait of an entry before it changes to another owner. */
 export const DEFAULT_QUOTA_LEASE_MS = 1000;
-/** Part of each limit that is split evenly. */
+/** Part of each limit that is split evenly over all entries. */
 export const DEFAULT_EVEN_SHARE = 0.2;
-/** Lease periods after which a row that nobody asks for is forgotten. */
-const IDLE_LEASES = 10;
+/** Lease periods without a request after which a row is removed. */
+const IDLE_LEASE_PERIODS = 10;
 
 /** A request for a share of a limit. */
 export interface QuotaRequest {
   readonly entry: string;
   readonly row: string;
-  /** How much of the limit the entry could use now. */
+  /** Amount of the limit that the entry could use now. */
   readonly demand: number;
-  /** The limit as the entry's table has it. */
+  /** The limit in the entry's revision of the table. */
   readonly limit: number;
   readonly revision: number;
-  /** Token of the owner's last answer to this entry. */
+  /** Token of the owner's last reply to this entry. */
   readonly token?: QuotaToken;
 }
 
-/** Says when, on the clock of which owner process, an answer was given. */
+/** Time of a reply, by the clock of the owner process named by its epoch. */
 export interface QuotaToken {
   readonly ownerEpoch: string;
   readonly atMs: number;
 }
 
-/** Answer of an owner. */
+/** Reply of an owner to {@link QuotaRequest}. */
 export interface QuotaAnswer {
   readonly granted: number;
   readonly token: QuotaToken;
@@ -47,9 +47,9 @@
 
 /** Options of {@link QuotaOwner}. */
 export interface QuotaOwnerOptions {
-  /** Entries in the settings, whether up or not. */
+  /** Number of entries in the settings, whether or not they are running. */
   readonly entryCount: number;
-  /** Differs between any two processes. */
+  /** Unique to each process. */
   readonly epoch: string;
   readonly leaseMs?: number;
   readonly evenShare?: number;
@@ -60,21 +60,21 @@
   readonly untilMs: number;
 }
 
-interface Asker {
+interface Requester {
   demand: number;
-  heardAtMs: number;
-  /** Shares that may still be in use; a smaller one does not end a larger one at once. */
+  lastRequestAtMs: number;
+  /** Shares that may still be in use: a smaller grant does not revoke a larger one at once. */
   grants: Grant[];
 }
 
 interface OwnedRow {
   limit: number;
   revision: number;
-  /** A lowered limit counts only once the shares of the higher one have run out. */
-  readonly askers: Map<string, Asker>;
+  /** By entry. After a limit is lowered, shares of the former limit count until they expire. */
+  readonly requesters: Map<string, Requester>;
 }
 
-/** Shares out the limits of the rows that this entry owns. */
+/** Leases shares of the limits of the rows that this entry owns. */
 export class QuotaOwner {
   private readonly entryCount: number;
   private readonly epoch: string;
@@ -91,35 +91,39 @@
     this.evenShare = options.evenShare ?? DEFAULT_EVEN_SHARE;
   }
 
-  /** Rows owned at present. */
+  /** Number of rows owned at present. */
   get rowCount(): number {
     return this.rows.size;
   }
 
-  /** Answers a request with the share that the entry holds for the lease period. */
+  /** Grants a share that the requesting entry may use for the lease period. */
   ask(request: QuotaRequest, nowMs: number): QuotaAnswer {
-    this.noteSupport(request, nowMs);
+    this.recordSupport(request, nowMs);
     const row = this.rowOf(request);
-    const asker = row.askers.get(request.entry) ?? { demand: 0, heardAtMs: nowMs, grants: [] };
-    row.askers.set(request.entry, asker);
-    asker.demand = request.demand;
-    asker.heardAtMs = nowMs;
+    const requester = row.requesters.get(request.entry) ?? {
+      demand: 0,
+      lastRequestAtMs: nowMs,
+      grants: [],
+    };
+    row.requesters.set(request.entry, requester);
+    requester.demand = request.demand;
+    requester.lastRequestAtMs = nowMs;
     const token = { ownerEpoch: this.epoch, atMs: nowMs };
     if (!this.mayGrant(nowMs)) return { granted: 0, token };
-    const free = this.pool(row) - this.outstanding(row, request.entry, nowMs);
-    const granted = Math.max(0, Math.min(this.fairShare(row, asker, nowMs), free));
-    asker.grants = asker.grants.filter((grant) => grant.untilMs > nowMs);
-    asker.grants.push({ amount: granted, untilMs: nowMs + this.leaseMs });
+    const free = this.leasableAmount(row) - this.grantedToOthers(row, request.entry, nowMs);
+    const granted = Math.max(0, Math.min(this.fairShare(row, requester, nowMs), free));
+    requester.grants = requester.grants.filter((grant) => grant.untilMs > nowMs);
+    requester.grants.push({ amount: granted, untilMs: nowMs + this.leaseMs });
     return { granted, token };
   }
 
-  /** Forgets rows that nobody asks for. */
+  /** Removes rows that were not requested recently. */
   forgetIdle(nowMs: number): void {
     for (const [key, row] of this.rows) {
-      const heard = [...row.askers.values()].some(
-        (asker) => nowMs - asker.heardAtMs < IDLE_LEASES * this.leaseMs,
+      const isActive = [...row.requesters.values()].some(
+        (requester) => nowMs - requester.lastRequestAtMs < IDLE_LEASE_PERIODS * this.leaseMs,
       );
-      if (!heard) this.rows.delete(key);
+      if (!isActive) this.rows.delete(key);
     }
   }
 
@@ -133,8 +137,8 @@
     return nowMs - this.majoritySinceMs >= this.leaseMs;
   }
 
-  private noteSupport(request: QuotaRequest, nowMs: number): void {
-    // Support that lapsed between two asks must break the majority even if nobody looked.
+  private recordSupport(request: QuotaRequest, nowMs: number): void {
+    // A majority that lapsed between two requests must be noticed before new support is added.
     this.mayGrant(nowMs);
     const { entry, token } = request;
     if (token?.ownerEpoch !== this.epoch) return;
@@ -153,8 +157,8 @@
   private rowOf(request: QuotaRequest): OwnedRow {
     const known = this.rows.get(request.row);
     if (known === undefined) {
-      const askers = new Map<string, Asker>();
-      const fresh = { limit: request.limit, revision: request.revision, askers };
+      const requesters = new Map<string, Requester>();
+      const fresh = { limit: request.limit, revision: request.revision, requesters };
       this.rows.set(request.row, fresh);
       return fresh;
     }
@@ -165,32 +169,32 @@
     return known;
   }
 
-  private pool(row: OwnedRow): number {
+  private leasableAmount(row: OwnedRow): number {
     return row.limit * (1 - this.evenShare);
   }
 
-  private outstanding(row: OwnedRow, except: string, nowMs: number): number {
+  private grantedToOthers(row: OwnedRow, except: string, nowMs: number): number {
     let sum = 0;
-    for (const [entry, asker] of row.askers) {
+    for (const [entry, requester] of row.requesters) {
       if (entry === except) continue;
-      sum += Math.max(0, ...asker.grants.filter((g) => g.untilMs > nowMs).map((g) => g.amount));
+      sum += Math.max(0, ...requester.grants.filter((g) => g.untilMs > nowMs).map((g) => g.amount));
     }
     return sum;
   }
 
-  /** Demand is met from the smallest up; who asks for more shares what is left. */
-  private fairShare(row: OwnedRow, asker: Asker, nowMs: number): number {
-    const active = [...row.askers.values()].filter(
-      (other) => nowMs - other.heardAtMs < this.leaseMs,
+  /** Max-min fair share: small demands are met in full, the others share the rest equally. */
+  private fairShare(row: OwnedRow, requester: Requester, nowMs: number): number {
+    const active = [...row.requesters.values()].filter(
+      (other) => nowMs - other.lastRequestAtMs < this.leaseMs,
     );
     const demands = active.map((other) => other.demand).sort((a, b) => a - b);
-    let left = this.pool(row);
+    let left = this.leasableAmount(row);
     for (const [position, demand] of demands.entries()) {
       const equal = left / (demands.length - position);
-      if (demand >= equal) return Math.min(asker.demand, equal);
+      if (demand >= equal) return Math.min(requester.demand, equal);
       left -= demand;
     }
-    return asker.demand;
+    return requester.demand;
   }
 }
 
@@ -206,7 +210,7 @@
   readonly untilMs: number;
 }
 
-/** The shares that an entry holds, and whom it may ask. */
+/** The shares that an entry holds, and the owner that it may send requests to. */
 export class QuotaHolder {
   private readonly entryCount: number;
   private readonly leaseMs: number;
@@ -214,7 +218,7 @@
   private readonly shares = new Map<string, HeldShare>();
   private owner = '';
   private token: QuotaToken | undefined;
-  private lastAskedMs = -Infinity;
+  private lastRequestAtMs = -Infinity;
 
   constructor(options: QuotaHolderOptions) {
     this.entryCount = options.entryCount;
@@ -223,35 +227,36 @@
   }
 
   /**
-   * The owner to ask now, given who should own by the present view; undefined while the
-   * period since the last word to another owner has not passed.
+   * Returns the owner to send a request to now. `preferred` is the owner by the present membership;
+   * the result is undefined until a lease period has passed since the last request to another
+   * owner.
    */
   ownerToAsk(preferred: string, nowMs: number): string | undefined {
     if (preferred !== this.owner) {
-      if (nowMs - this.lastAskedMs < this.leaseMs) return undefined;
+      if (nowMs - this.lastRequestAtMs < this.leaseMs) return undefined;
       this.owner = preferred;
       this.token = undefined;
     }
-    this.lastAskedMs = nowMs;
+    this.lastRequestAtMs = nowMs;
     return this.owner;
   }
 
-  /** Token to bring back to the owner. */
+  /** Token to send with the next request to the owner. */
   get lastToken(): QuotaToken | undefined {
     return this.token;
   }
 
   /**
-   * Takes an answer of `owner`. The share counts from when it was asked for, which is before
-   * it was granted.
+   * Records a reply of `owner`. The lease is counted from the time of the request, which is before
+   * the time of the grant.
    */
-  answered(owner: string, row: string, answer: QuotaAnswer, askedAtMs: number): void {
+  answered(owner: string, row: string, reply: QuotaAnswer, requestedAtMs: number): void {
     if (owner !== this.owner) return;
-    this.token = answer.token;
-    this.shares.set(row, { amount: answer.granted, untilMs: askedAtMs + this.leaseMs });
+    this.token = reply.token;
+    this.shares.set(row, { amount: reply.granted, untilMs: requestedAtMs + this.leaseMs });
   }
 
-  /** How much of a limit this entry may use now. */
+  /** Returns the amount of a limit that this entry may use now. */
   allowance(row: string, limit: number, nowMs: number): number {
     const even = (limit * this.evenShare) / this.entryCount;
     const share = this.shares.get(row);
--- a/packages/admission/src/rate.ts
+++ b/packages/admission/src/rate.ts
@@ -1,16 +1,16 @@
 /**
- * A rate limit whose rate may change from moment to moment.
+ * A rate limiter whose rate may change between any two calls.
  */
 
-/** Seconds of rate that may be saved up. */
+/** Capacity of the bucket, in seconds at the present rate. */
 const BURST_SECONDS = 1;
 
-/** A token bucket. It may go into debt where the cost is known only afterwards. */
+/** A token bucket. Its level may become negative if a cost is known only afterwards. */
 export class RateBucket {
   private level: number | undefined;
   private filledAtMs = 0;
 
-  /** Takes `cost` if the bucket holds it. */
+  /** Takes `cost` and returns true if the level is sufficient. */
   take(cost: number, ratePerSecond: number, nowMs: number): boolean {
     this.fill(ratePerSecond, nowMs);
     const level = this.level ?? 0;
@@ -19,18 +19,18 @@
     return true;
   }
 
-  /** Whether the bucket is out of debt. */
+  /** Whether the level is above zero. */
   isPositive(ratePerSecond: number, nowMs: number): boolean {
     this.fill(ratePerSecond, nowMs);
     return (this.level ?? 0) > 0;
   }
 
-  /** Takes `cost` in any case. */
+  /** Takes `cost`, even if the level becomes negative. */
   charge(cost: number): void {
     this.level = (this.level ?? 0) - cost;
   }
 
-  /** Time until `cost` can be taken. */
+  /** Returns the time until `cost` can be taken, as of the last refill. */
   waitMs(cost: number, ratePerSecond: number): number {
     const missing = cost - (this.level ?? 0);
     if (missing <= 0) return 0;
@@ -38,12 +38,12 @@
   }
 
   private fill(ratePerSecond: number, nowMs: number): void {
-    const ceiling = Math.max(1, ratePerSecond * BURST_SECONDS);
+    const capacity = Math.max(1, ratePerSecond * BURST_SECONDS);
     if (this.level === undefined) {
-      this.level = ceiling;
+      this.level = capacity;
     } else {
       const gained = ((nowMs - this.filledAtMs) / 1000) * ratePerSecond;
-      this.level = Math.min(ceiling, this.level + Math.max(0, gained));
+      this.level = Math.min(capacity, this.level + Math.max(0, gained));
     }
     this.filledAtMs = nowMs;
   }
--- a/packages/admission/src/retry-budget.ts
+++ b/packages/admission/src/retry-budget.ts
@@ -1,36 +1,37 @@
 /**
- * Bounds the retries of a service: all sends together stay within a factor of the requests.
+ * Limits the retries of a service to a share of its requests, so that retries cannot multiply the
+ * load during an outage.
  */
 
 /** Options of {@link RetryBudget}. */
 export interface RetryBudgetOptions {
-  /** Retries allowed for each request. */
+  /** Retries that each request adds to the budget. */
   readonly retriesPerRequest?: number;
-  /** Retries that may be saved up; also allowed at the start. */
-  readonly maxSaved?: number;
+  /** Largest budget, in retries; also the initial budget. */
+  readonly maxSavedRetries?: number;
 }
 
-/** A budget that requests fill and retries empty. */
+/** Retry budget of one service: requests fill it and retries spend it. */
 export class RetryBudget {
   private readonly retriesPerRequest: number;
-  private readonly maxSaved: number;
-  private saved: number;
+  private readonly maxSavedRetries: number;
+  private savedRetries: number;
 
   constructor(options: RetryBudgetOptions = {}) {
     this.retriesPerRequest = options.retriesPerRequest ?? 0.2;
-    this.maxSaved = options.maxSaved ?? 20;
-    this.saved = this.maxSaved;
+    this.maxSavedRetries = options.maxSavedRetries ?? 20;
+    this.savedRetries = this.maxSavedRetries;
   }
 
-  /** Notes a new request. */
+  /** Adds the share of a new request to the budget. */
   requested(): void {
-    this.saved = Math.min(this.maxSaved, this.saved + this.retriesPerRequest);
+    this.savedRetries = Math.min(this.maxSavedRetries, this.savedRetries + this.retriesPerRequest);
   }
 
-  /** Takes one retry from the budget; false where it is spent. */
+  /** Takes one retry from the budget; returns false if the budget is exhausted. */
   takeRetry(): boolean {
-    if (this.saved < 1) return false;
-    this.saved -= 1;
+    if (this.savedRetries < 1) return false;
+    this.savedRetries -= 1;
     return true;
   }
 }
--- a/packages/admission/src/retry-decision.ts
+++ b/packages/admission/src/retry-decision.ts
@@ -1,21 +1,22 @@
 /**
- * Whether a failed send may be repeated, and what the caller is told of it.
+ * Decides whether a failed attempt may be retried, and what is reported about its execution.
  */
 import type { Ran } from '@shedline/types';
 
-/** How far a send got. */
+/** How far an attempt to send a request got. */
 export type SendProgress =
   /** No byte of the request reached the endpoint. */
   | 'notSent'
-  /** The endpoint said that it did not run the request. */
+  /** The endpoint reported that it did not run the request. */
   | 'refused'
-  /** Bytes went out and no whole answer came. */
+  /** Bytes were sent and no complete response was received. */
   | 'sent';
 
-/** What the decision depends on. */
-export interface FailedSend {
+/** Input of {@link mayRetry}. */
+export interface FailedAttempt {
   readonly progress: SendProgress;
   readonly idempotent: boolean;
+  /** Attempts so far, the failed one included. */
   readonly attempts: number;
   readonly maxAttempts: number;
   /** Time left until the caller's deadline. */
@@ -24,17 +25,17 @@
   readonly hasAlternative: boolean;
 }
 
-/** Least time left that a repetition is worth. */
-const MIN_LEFT_MS = 20;
+/** Minimum time until the deadline for a retry to be worthwhile. */
+const MIN_REMAINING_MS = 20;
 
-/** Whether the request may go out again; the retry budget is asked besides. */
-export function mayRetry(failed: FailedSend): boolean {
+/** Whether the request may be sent again. The retry budget is checked separately. */
+export function mayRetry(failed: FailedAttempt): boolean {
   if (failed.attempts >= failed.maxAttempts) return false;
-  if (failed.leftMs < MIN_LEFT_MS || !failed.hasAlternative) return false;
+  if (failed.leftMs < MIN_REMAINING_MS || !failed.hasAlternative) return false;
   return failed.idempotent || failed.progress !== 'sent';
 }
 
-/** What may truly be said after the sends so far: `no` only if none of them can have run. */
-export function ranAfter(sends: readonly SendProgress[]): Ran {
-  return sends.every((progress) => progress !== 'sent') ? 'no' : 'unknown';
+/** Returns whether the request ran in any attempt: `no` only if none of them can have run it. */
+export function ranAfter(attempts: readonly SendProgress[]): Ran {
+  return attempts.every((progress) => progress !== 'sent') ? 'no' : 'unknown';
 }
--- a/packages/admission/src/wait-estimate.test.ts
+++ b/packages/admission/src/wait-estimate.test.ts
@@ -2,7 +2,7 @@
 import fc from 'fast-check';
 import { describe, title } from '@shedline/test-utils';
 import { CallerTimeLimits } from './caller-time-limits.js';
-import { WaitEstimate, compareTurns } from './wait-estimate.js';
+import { WaitEstimate, compareWaitingRequests } from './wait-estimate.js';
 import type { WaitingRequest } from './wait-estimate.js';
 
 const waiting = fc.record({
@@ -19,15 +19,18 @@
   return estimate;
 }
 
-describe('turns', () => {
-  test(title('are an order: what comes first does not depend on who asks'), (t) => {
+describe('compareWaitingRequests', () => {
+  test(title('defines an order that does not depend on the input order'), (t) => {
     fc.assert(
       fc.property(fc.array(waiting, { maxLength: 20 }), fc.nat(2000), (requests, nowMs) => {
-        const once = [...requests].sort((a, b) => compareTurns(a, b, nowMs));
-        const again = [...requests].reverse().sort((a, b) => compareTurns(a, b, nowMs));
-        for (const [index, request] of once.entries()) {
-          const other = again[index];
-          if (other === undefined || compareTurns(request, other, nowMs) !== 0) return false;
+        const ordered = [...requests].sort((a, b) => compareWaitingRequests(a, b, nowMs));
+        const fromReversed = [...requests]
+          .reverse()
+          .sort((a, b) => compareWaitingRequests(a, b, nowMs));
+        for (const [index, request] of ordered.entries()) {
+          const other = fromReversed[index];
+          if (other === undefined || compareWaitingRequests(request, other, nowMs) !== 0)
+            return false;
         }
         return true;
       }),
@@ -35,45 +38,49 @@
     t.pass();
   });
 
-  test(title('a request that is late already lets those pass that can be on time'), (t) => {
+  test(title('orders requests within their target before late ones of the same rank'), (t) => {
     const late = { rank: 0, onTimeUntilMs: 100, deadlineMs: 400 };
-    const soon = { rank: 0, onTimeUntilMs: 250, deadlineMs: 5000 };
-    const fresh = { rank: 0, onTimeUntilMs: 300, deadlineMs: 5000 };
+    const earlier = { rank: 0, onTimeUntilMs: 250, deadlineMs: 5000 };
+    const later = { rank: 0, onTimeUntilMs: 300, deadlineMs: 5000 };
     const lessUrgent = { rank: 1, onTimeUntilMs: 210, deadlineMs: 300 };
-    const order = [lessUrgent, late, fresh, soon].sort((a, b) => compareTurns(a, b, 200));
-    t.deepEqual(order, [soon, fresh, late, lessUrgent]);
+    const order = [lessUrgent, late, later, earlier].sort((a, b) =>
+      compareWaitingRequests(a, b, 200),
+    );
+    t.deepEqual(order, [earlier, later, late, lessUrgent]);
   });
 });
 
 describe('WaitEstimate', () => {
-  test(title('waits grow with the position and the sharers, and shrink with the slots'), (t) => {
+  test(title('waits grow with position and number of entries, and shrink with slots'), (t) => {
     fc.assert(
       fc.property(times, fc.integer({ min: 1, max: 50 }), (runMs, position) => {
         const estimate = estimateOf(runMs);
-        const few = { slots: 4, sharers: 1 };
+        const capacity = { slots: 4, sharers: 1 };
         return (
-          estimate.waitMs(position + 1, few) > estimate.waitMs(position, few) &&
-          estimate.waitMs(position, { slots: 4, sharers: 5 }) > estimate.waitMs(position, few) &&
-          estimate.waitMs(position, { slots: 400, sharers: 1 }) < estimate.waitMs(position, few)
+          estimate.waitMs(position + 1, capacity) > estimate.waitMs(position, capacity) &&
+          estimate.waitMs(position, { slots: 4, sharers: 5 }) >
+            estimate.waitMs(position, capacity) &&
+          estimate.waitMs(position, { slots: 400, sharers: 1 }) <
+            estimate.waitMs(position, capacity)
         );
       }),
     );
     t.pass();
   });
 
-  test(title('the first in a queue waits for nobody, however many share the slots'), (t) => {
+  test(title('the wait at the first position does not depend on the number of entries'), (t) => {
     fc.assert(
       fc.property(times, fc.integer({ min: 1, max: 60 }), (runMs, sharers) => {
         const estimate = estimateOf(runMs);
         return estimate.waitMs(0, { slots: 16, sharers }) === runMs / 16;
       }),
     );
-    // Callers that wait for a second, where a run takes over half of one and 13 entries share 16 slots.
+    // Callers wait for 1 s, a run takes 600 ms and 13 entries share 16 slots.
     const request: WaitingRequest = { rank: 0, onTimeUntilMs: 300, deadlineMs: 1000 };
     t.false(estimateOf(600).isHopeless(request, 0, { slots: 16, sharers: 13 }, 0));
   });
 
-  test(title('gives up what would be over before its turn, at any length of work'), (t) => {
+  test(title('rejects requests that cannot end before their deadline, at any run time'), (t) => {
     for (const runMs of [5, 600, 45_000]) {
       const estimate = estimateOf(runMs);
       const capacity = { slots: 10, sharers: 2 };
@@ -85,13 +92,13 @@
     }
   });
 
-  test(title('where nothing serves the requests, there is no end of the wait'), (t) => {
+  test(title('the wait is infinite without slots'), (t) => {
     t.is(estimateOf(1).waitMs(0, { slots: 0, sharers: 1 }), Infinity);
   });
 });
 
 describe('CallerTimeLimits', () => {
-  test(title('tells callers that come back from new ones, some of them patient'), (t) => {
+  test(title('distinguishes retries from first attempts, some of which wait much longer'), (t) => {
     const timeLimits = new CallerTimeLimits();
     t.is(timeLimits.ageMs(700), 0);
     for (let index = 0; index < 50; index += 1) {
--- a/packages/admission/src/wait-estimate.ts
+++ b/packages/admission/src/wait-estimate.ts
@@ -1,34 +1,37 @@
 /**
- * Decides who of the requests that wait for an endpoint goes first, and which of them cannot be
- * served any more, from what earlier requests needed.
+ * Compares requests that wait for an endpoint, and estimates from the duration of earlier requests
+ * which of them can no longer be served.
  */
 
 /** A request that waits for a free slot. */
 export interface WaitingRequest {
   /** 0 is the most urgent. */
   readonly rank: number;
-  /** Until when an answer is on time, counted from the caller's first attempt. */
+  /** Time at which the target expires, counted from the caller's first attempt. */
   readonly onTimeUntilMs: number;
-  /** End of the time that the caller waits. */
+  /** Time until which the caller waits for the complete response. */
   readonly deadlineMs: number;
-  /** Until when the answer has to begin, where the caller leaves otherwise. */
+  /** Time by which the response has to begin, if the caller would disconnect otherwise. */
   readonly beginByMs?: number;
-  /** From when on it goes first, late as it is, since it could not be served any more soon after. */
+  /** Time from which a late request goes first, since it would soon miss its deadline. */
   readonly urgentFromMs?: number;
 }
 
-/** Whether a request can be on time, is late and can wait, or is late and has to go now. */
+/**
+ * State of a request relative to its target: `on time` before the target expires, `late` after it
+ * while the request can wait, `urgent` if it is late and would soon miss its deadline.
+ */
 export type Timeliness = 'urgent' | 'on time' | 'late';
 
 const TIMELINESS_ORDER: Readonly<Record<Timeliness, number>> = { urgent: 0, 'on time': 1, late: 2 };
 
-/** The timeliness of a request at a moment. */
+/** Returns the timeliness of a request at `nowMs`. */
 export function timelinessOf(request: WaitingRequest, nowMs: number): Timeliness {
   if (request.onTimeUntilMs > nowMs) return 'on time';
   return (request.urgentFromMs ?? Infinity) <= nowMs ? 'urgent' : 'late';
 }
 
-/** What serves the requests that wait. */
+/** Capacity that serves the waiting requests. */
 export interface WaitingCapacity {
   /** Requests that all endpoints of the service run at once. */
   readonly slots: number;
@@ -36,96 +39,108 @@
   readonly sharers: number;
 }
 
-/** Weight of the newest request in the times that requests are taken to need. */
+/** Weight of the newest sample in the moving averages. */
 const SMOOTHING = 0.1;
 /**
- * Time that a request is taken to need before one was seen, where slots are left to others. Much rather too long: it
- * holds for one run time after a start. After a loss of all power in a peak 0.76 of the worth was had with 1.5 s, 0.74 with
- * 0.7 s, 0.71 with 0.3 s and 0.69 with none (model of 56 entries with 28 endpoints, one of three seeds).
+ * Assumed run time before the first request completes, for the slots kept for new requests. It is
+ * deliberately long, as it applies for only one run time after a start. After a total power loss
+ * during a peak, 0.76 of the achievable value was reached with 1.5 s, 0.74 with 0.7 s, 0.71 with
+ * 0.3 s and 0.69 without it (56 entries, 28 endpoints).
+ */
+const INITIAL_RUN_MS = 1000;
+/** Share of the slots assumed to serve late requests while new requests keep arriving. */
+const LATE_SLOT_SHARE = 0.5;
+/**
+ * Margin before the last possible send time at which a late request becomes urgent, as a share of
+ * the run time. It covers the wait for a free slot and variations of the run time.
  */
-const FIRST_RUN_MS = 1000;
-/** Part of the slots in which late requests are counted on to be served while others keep coming. */
-const LATE_SHARE = 0.5;
-/** Time before the last moment at which a late request goes first: until a slot opens, and for what cannot be foreseen. */
-const URGENT_RUN_SHARE = 0.5;
-const LEAST_SPARE_MS = 100;
-/** Time over which the requests that come are counted: a peak shows within it. */
-const ARRIVAL_MEMORY_MS = 1000;
+const URGENT_MARGIN_RUN_SHARE = 0.5;
+/** Lower bound of this margin. */
+const MIN_URGENT_MARGIN_MS = 100;
+/** Time constant of the decaying arrival count; short enough to follow a traffic peak. */
+const ARRIVAL_DECAY_MS = 1000;
 
 /**
- * Order of turns at `nowMs`: by rank; then those whose callers would leave soon; then those that can
- * still be on time, the soonest late first; then those that are late already, the soonest over first. What
- * is late loses little by a longer wait, what is on time loses most of its use.
+ * Compares two requests by the order in which they get an endpoint at `nowMs`: by rank; then urgent
+ * requests; then those within their target, earliest target first; then late requests, earliest
+ * expiry first. A late request loses little by a longer wait, while a request that exceeds its
+ * target loses most of its value.
  */
-export function compareTurns(a: WaitingRequest, b: WaitingRequest, nowMs: number): number {
+export function compareWaitingRequests(
+  a: WaitingRequest,
+  b: WaitingRequest,
+  nowMs: number,
+): number {
   if (a.rank !== b.rank) return a.rank - b.rank;
   const timeliness = timelinessOf(a, nowMs);
   const other = timelinessOf(b, nowMs);
   if (timeliness !== other) return TIMELINESS_ORDER[timeliness] - TIMELINESS_ORDER[other];
   if (timeliness === 'on time') return a.onTimeUntilMs - b.onTimeUntilMs;
-  return endOf(a) - endOf(b);
+  return expiryMs(a) - expiryMs(b);
 }
 
-function endOf({ deadlineMs, beginByMs = Infinity }: WaitingRequest): number {
+/** Returns the time from which a response is of no use to the caller. */
+function expiryMs({ deadlineMs, beginByMs = Infinity }: WaitingRequest): number {
   return Math.min(deadlineMs, beginByMs);
 }
 
-/** Times that requests of one service need, and the waits that follow from them. */
+/** Estimates queue waits from the run times and arrivals of one service. */
 export class WaitEstimate {
   private smoothedRunMs: number | undefined;
-  private smoothedLeadMs = 0;
+  private smoothedFirstEventMs = 0;
   private arrivals = 0;
   private arrivedAtMs = 0;
 
-  /** Notes how long an endpoint was at work on a request that it completed. */
+  /** Records the time for which an endpoint ran a completed request. */
   completed(runMs: number): void {
     this.smoothedRunMs ??= runMs;
     this.smoothedRunMs += SMOOTHING * (runMs - this.smoothedRunMs);
   }
 
-  /** Notes that a request came. */
+  /** Records the arrival of a request. */
   arrived(nowMs: number): void {
-    this.arrivals = this.arrivalsAt(nowMs) + 1;
+    this.arrivals = this.decayedArrivals(nowMs) + 1;
     this.arrivedAtMs = nowMs;
   }
 
-  /** Slots that requests which come from now on will keep in use, if they go on to come as of late. */
+  /** Returns the slots that new requests will occupy if the recent arrival rate continues. */
   slotsForNew(nowMs: number): number {
-    const runMs = this.smoothedRunMs ?? FIRST_RUN_MS;
-    return (this.arrivalsAt(nowMs) * runMs) / ARRIVAL_MEMORY_MS;
+    const runMs = this.smoothedRunMs ?? INITIAL_RUN_MS;
+    return (this.decayedArrivals(nowMs) * runMs) / ARRIVAL_DECAY_MS;
   }
 
-  private arrivalsAt(nowMs: number): number {
-    return this.arrivals * Math.exp(-Math.max(0, nowMs - this.arrivedAtMs) / ARRIVAL_MEMORY_MS);
+  private decayedArrivals(nowMs: number): number {
+    return this.arrivals * Math.exp(-Math.max(0, nowMs - this.arrivedAtMs) / ARRIVAL_DECAY_MS);
   }
 
-  /** Notes how long it took from a send to the first event of its answer. */
-  answered(leadMs: number): void {
-    this.smoothedLeadMs += SMOOTHING * (leadMs - this.smoothedLeadMs);
+  /** Records the time from sending a request to the first event of its response. */
+  answered(firstEventMs: number): void {
+    this.smoothedFirstEventMs += SMOOTHING * (firstEventMs - this.smoothedFirstEventMs);
   }
 
-  /** Time from a send to the first event of its answer; 0 before one was seen. */
+  /** Average time from sending a request to its first event; 0 before the first sample. */
   get leadMs(): number {
-    return this.smoothedLeadMs;
+    return this.smoothedFirstEventMs;
   }
 
-  /** Time that a request needs; 0 before one was seen. */
+  /** Average run time; 0 before the first sample. */
   get runMs(): number {
     return this.smoothedRunMs ?? 0;
   }
 
   /**
-   * Time until a slot opens for the request at a position of this entry's queue, counted from 0: `slots`
-   * requests end in each run time, and for each that goes before it here each sharer takes one as well. Nobody
-   * goes before the first: while it was taken to wait for all sharers, a route whose callers wait for a second
-   * was refused altogether where 13 entries shared 16 slots and a run took half a second.
+   * Returns the time until a slot opens for the request at a queue position of this entry, counted
+   * from 0: `slots` requests end in each run time, and for each request before it here every other
+   * entry sends one as well. The first position does not wait for the other entries: otherwise, with
+   * 13 entries on 16 slots and runs of half a second, a route whose callers wait for one second
+   * would be refused completely.
    */
   waitMs(position: number, { slots, sharers }: WaitingCapacity): number {
     if (slots === 0) return Infinity;
     return ((position * Math.max(1, sharers) + 1) * this.runMs) / slots;
   }
 
-  /** Whether a request at a position would be over, or its caller gone, before it could be served. */
+  /** Whether a request at a queue position cannot be served before its caller stops waiting. */
   isHopeless(
     request: WaitingRequest,
     position: number,
@@ -138,23 +153,24 @@
   }
 
   /**
-   * Whether a late request has more late ones before it than can be served until it would be over, in the part of
-   * the slots that is left to what is late. Told at once, its caller can come back when the peak is over.
+   * Whether more late requests are queued before a late request than can be served before its
+   * expiry in the slots for late requests. If it is refused at once, its caller can retry after the
+   * peak.
    */
   isBeyondLate(
     request: WaitingRequest,
-    lateBefore: number,
+    lateAhead: number,
     { slots, sharers }: WaitingCapacity,
     nowMs: number,
   ): boolean {
     if (slots === 0) return false;
-    const eachMs = (this.runMs * Math.max(1, sharers)) / (slots * LATE_SHARE);
-    return nowMs + (lateBefore + 1) * eachMs > endOf(request);
+    const perRequestMs = (this.runMs * Math.max(1, sharers)) / (slots * LATE_SLOT_SHARE);
+    return nowMs + (lateAhead + 1) * perRequestMs > expiryMs(request);
   }
 
-  /** From when on a late request has to go. */
+  /** Returns the time from which a late request is urgent. */
   urgentFromMs({ deadlineMs, beginByMs = Infinity }: WaitingRequest): number {
-    const spareMs = Math.max(LEAST_SPARE_MS, URGENT_RUN_SHARE * this.runMs);
-    return Math.min(deadlineMs - this.runMs, beginByMs - this.leadMs) - spareMs;
+    const marginMs = Math.max(MIN_URGENT_MARGIN_MS, URGENT_MARGIN_RUN_SHARE * this.runMs);
+    return Math.min(deadlineMs - this.runMs, beginByMs - this.leadMs) - marginMs;
   }
 }
