--- a/packages/admission/src/fair-queue-order.ts
+++ b/packages/admission/src/fair-queue-order.ts
@@ -19,7 +19,7 @@
  * share over all ranks. No rank may fall below a third; the margin covers the delay and the decay
  * of the counts.
  */
-const STARVED_SERVICE_SHARE = 0.45;
+const STARVED_SHARE = 0.45;
 /** Decayed count of a rank's requests below which it never counts as starved. */
 const MIN_RANK_REQUESTS = 3;
 
@@ -95,10 +95,7 @@
   private isStarved(rank: number): boolean {
     const { arrived, served } = this.countsOf(rank);
     if (arrived < MIN_RANK_REQUESTS) return false;
-    return (
-      served / arrived <
-      (STARVED_SERVICE_SHARE * this.total.served) / Math.max(1, this.total.arrived)
-    );
+    return served / arrived < (STARVED_SHARE * this.total.served) / Math.max(1, this.total.arrived);
   }
 
   private decay(nowMs: number): void {
