--- a/packages/quarantine/src/crash-records.ts
+++ b/packages/quarantine/src/crash-records.ts
@@ -1,72 +1,72 @@
 /**
- * The fleet's record of contents under which endpoints have ended. It is part of a replicated state
+ * The fleet's record of request contents that crashed endpoints. It is part of a replicated state
  * machine: it reads no clock, and the same commands in the same order give the same record.
  */
 import { match } from 'ts-pattern';
-import { countCrash } from './suspicion.js';
-import type { CountedCrash, CrashCount } from './suspicion.js';
+import { countCrash } from './quarantine-rule.js';
+import type { CountedCrash, CrashCount } from './quarantine-rule.js';
 
 /**
- * Contents remembered, cleared ones included; about 100 B each. An endpoint that ends leaves as many as it
- * was at work on, so this is good for some dozens of ends at once.
+ * Maximum number of recorded contents, cleared ones included; about 100 B each. A crash adds one
+ * for each request that the endpoint ran, so this suffices for dozens of simultaneous crashes.
  */
 const MAX_RECORDS = 512;
 
-/** An end of an endpoint that was at work on a content. */
+/** A crash of an endpoint that ran a content. */
 export interface CrashUnderContent extends CountedCrash {
   readonly contentKey: string;
 }
 
-/** Records ends of endpoints, and contents that endpoints have lived through. */
+/** Command that records crashes of endpoints, and contents that ran without a crash. */
 export interface RecordCrashes {
   readonly type: 'recordCrashes';
   readonly crashed: readonly CrashUnderContent[];
-  /** Keys of contents whose runs went well. */
+  /** Keys of contents that ran without a crash. */
   readonly survived: readonly string[];
 }
 
-/** Asks to try a content that is held back; of all who ask for the same trial one is let. */
+/** Command that begins a trial of a quarantined content; only one sender may begin each trial. */
 export interface BeginTrial {
   readonly type: 'beginTrial';
   readonly contentKey: string;
-  /** Trials before this one, as the asker knows. */
+  /** Number of earlier trials that the sender knows of. */
   readonly trials: number;
 }
 
-/** Any command of the record. */
+/** Any command that changes the record. */
 export type CrashCommand = RecordCrashes | BeginTrial;
 
-/** What is recorded of one content; no ends where it was cleared. */
+/** Record of one content; without crashes if it was cleared. */
 export interface CrashRecord extends CrashCount {
   readonly contentKey: string;
-  /** Trials that were let since it was first held back. */
+  /** Trials that were begun since the content was first quarantined. */
   readonly trials: number;
-  /** Number of the change that made it so. */
+  /** Number of the last change of this record. */
   readonly number: number;
 }
 
-/** What a reader lacks. */
+/** Changes that a reader lacks. */
 export interface CrashChanges {
   /** Number of the newest change. */
   readonly number: number;
   readonly records: readonly CrashRecord[];
-  /** Whether `records` is all there is: what is missing in it is forgotten. */
+  /** Whether `records` is the complete record: contents that it lacks were removed. */
   readonly isWhole: boolean;
 }
 
-/** Plain form, for snapshots. */
+/** Serializable form, for snapshots. */
 export interface CrashRecordsData {
   readonly number: number;
   readonly forgottenNumber: number;
   readonly records: readonly CrashRecord[];
 }
 
-/** The record, by content. */
+/** Records of contents, by key. */
 export class CrashRecords {
   private number = 0;
-  /** Newest change of a record that was dropped. */
+  /** Number of the newest change of a removed record. */
   private forgottenNumber = 0;
-  /** In the order of their last change. */
+  /** Records by content key, in the order of their last change. */
   private records = new Map<string, CrashRecord>();
 
   /** Number of the newest change. */
@@ -74,7 +74,7 @@
     return this.number;
   }
 
-  /** Applies a command; true where something changed. */
+  /** Applies a command; returns whether the record changed. */
   apply(command: CrashCommand): boolean {
     return match(command)
       .with({ type: 'recordCrashes' }, (c) => this.record(c))
@@ -82,7 +82,7 @@
       .exhaustive();
   }
 
-  /** What a reader lacks that knows the changes up to `number`. */
+  /** Returns the changes that a reader lacks which knows all changes up to `number`. */
   changesSince(number: number): CrashChanges {
     const isWhole = number < this.forgottenNumber;
     const all = [...this.records.values()];
@@ -90,13 +90,13 @@
     return { number: this.number, records, isWhole };
   }
 
-  /** Plain form, for a snapshot. */
+  /** Returns the serializable form. */
   toData(): CrashRecordsData {
     const { number, forgottenNumber } = this;
     return { number, forgottenNumber, records: [...this.records.values()] };
   }
 
-  /** Takes the place of what is here; undefined is an empty record. */
+  /** Replaces the present content by that of a snapshot; undefined means an empty record. */
   restore(data: CrashRecordsData | undefined): void {
     this.number = data?.number ?? 0;
     this.forgottenNumber = data?.forgottenNumber ?? 0;
@@ -112,8 +112,8 @@
       this.put({ contentKey, ...counted, trials: known?.trials ?? 0 });
     }
     for (const contentKey of survived) {
-      const isBlamed = (this.records.get(contentKey)?.crashes ?? 0) > 0;
-      if (isBlamed) this.put({ contentKey, crashes: 0, trials: 0 });
+      const isSuspected = (this.records.get(contentKey)?.crashes ?? 0) > 0;
+      if (isSuspected) this.put({ contentKey, crashes: 0, trials: 0 });
     }
     return this.number !== before;
   }
@@ -129,16 +129,16 @@
     this.number += 1;
     this.records.delete(change.contentKey);
     this.records.set(change.contentKey, { ...change, number: this.number });
-    if (this.records.size > MAX_RECORDS) this.dropOne();
+    if (this.records.size > MAX_RECORDS) this.evictOne();
   }
 
-  /** Drops the oldest of those that say the least. */
-  private dropOne(): void {
+  /** Removes the oldest of the records with the fewest crashes. */
+  private evictOne(): void {
     const all = [...this.records.values()];
-    const least = all.reduce((min, { crashes }) => Math.min(min, crashes), Infinity);
-    const dropped = all.find(({ crashes }) => crashes === least);
-    if (dropped === undefined) return;
-    this.records.delete(dropped.contentKey);
-    this.forgottenNumber = Math.max(this.forgottenNumber, dropped.number);
+    const fewest = all.reduce((min, { crashes }) => Math.min(min, crashes), Infinity);
+    const evicted = all.find(({ crashes }) => crashes === fewest);
+    if (evicted === undefined) return;
+    this.records.delete(evicted.contentKey);
+    this.forgottenNumber = Math.max(this.forgottenNumber, evicted.number);
   }
 }
--- a/packages/quarantine/src/index.ts
+++ b/packages/quarantine/src/index.ts
@@ -1,6 +1,6 @@
 /**
- * Contents of requests under which endpoints have ended.
+ * Quarantine of request contents that crash endpoints.
  */
 export * from './crash-records.js';
 export * from './known-crashes.js';
-export * from './suspicion.js';
+export * from './quarantine-rule.js';
--- a/packages/quarantine/src/known-crashes.ts
+++ b/packages/quarantine/src/known-crashes.ts
@@ -1,145 +1,151 @@
 /**
- * What one entry knows of the contents under which endpoints have ended, and for how long it holds
- * one back. Times count from when the entry heard, by its own steady clock.
+ * One entry's knowledge of request contents that crashed endpoints, and the time for which each is
+ * quarantined. Times count from when the entry received a record, by its own monotonic clock.
  */
 import type { CrashChanges } from './crash-records.js';
-import { countCrash, isSuspect } from './suspicion.js';
-import type { CountedCrash, CrashCount } from './suspicion.js';
+import { countCrash, isQuarantined } from './quarantine-rule.js';
+import type { CountedCrash, CrashCount } from './quarantine-rule.js';
 
 /**
- * Time until a content that is held back may be tried again, by the trials before; the last one from
- * then on. A minute for what many ask and an outage took twice; after that as seldom as somebody may
- * have mended the model meanwhile.
+ * Quarantine before the next trial request, by the number of earlier trials; the last value applies
+ * from then on. A minute suits a frequent content that ran during two outages; the later values
+ * suit the time in which a model may be repaired.
  */
-const HOLD_MS = [60_000, 600_000, 7_200_000, 86_400_000] as const;
-const LONGEST_HOLD_MS = 86_400_000;
-/** Time for which one end counts against a content that has not been sent since. */
-const SUSPECT_MS = 3_600_000;
-/** Contents of its own that an entry remembers before the fleet's record has them. */
-const MAX_OWN = 256;
-/** Cleared contents remembered; news that are late are so by seconds. */
-const MAX_CLEARED = 512;
-
-/** How a content stands. */
+const QUARANTINE_MS = [60_000, 600_000, 7_200_000, 86_400_000] as const;
+const MAX_QUARANTINE_MS = 86_400_000;
+/** Time for which crashes below the quarantine threshold count against a content. */
+const SINGLE_CRASH_EXPIRY_MS = 3_600_000;
+/** Maximum number of contents recorded locally before the fleet's record includes them. */
+const MAX_LOCAL_RECORDS = 256;
+/** Maximum number of cleared contents remembered; outdated changes arrive only seconds late. */
+const MAX_CLEARED_RECORDS = 512;
+
+/** Quarantine status of a content. */
 export type ContentStatus =
   | { readonly kind: 'free' }
   | { readonly kind: 'held'; readonly forMs: number }
-  /** It may be tried by whoever is let. */
+  /** One trial request may run, by the entry that is allowed to begin it. */
   | { readonly kind: 'trialDue'; readonly trials: number };
 
 interface KnownRecord extends CrashCount {
   readonly trials: number;
-  /** Number of the change in the fleet's record; 0 for what is only known here. */
+  /** Number of the change in the fleet's record; 0 for a local record. */
   readonly number: number;
-  readonly heardAtMs: number;
+  readonly receivedAtMs: number;
 }
 
-const NOTHING: KnownRecord = { crashes: 0, trials: 0, number: 0, heardAtMs: 0 };
+const NO_RECORD: KnownRecord = { crashes: 0, trials: 0, number: 0, receivedAtMs: 0 };
 
-/** Contents by key. */
+/** Crashes attributed to contents, by the key of the content. */
 export class KnownCrashes {
   private readonly nowMs: () => number;
-  private readonly records = new Map<string, KnownRecord>();
-  /** Ends seen here, until the fleet's record has them. */
-  private readonly own = new Map<string, KnownRecord>();
-  /** Newest change known of contents that were cleared: a process that lags may still tell older ones. */
+  private readonly fleetRecords = new Map<string, KnownRecord>();
+  /** Crashes observed by this entry, until the fleet's record includes them. */
+  private readonly localRecords = new Map<string, KnownRecord>();
+  /** Newest known change of cleared contents; a lagging process may still report older ones. */
   private readonly cleared = new Map<string, number>();
 
   constructor(nowMs: () => number) {
     this.nowMs = nowMs;
   }
 
-  /** Whether no content is blamed for anything. */
+  /** Whether no crash is attributed to any content. */
   get isEmpty(): boolean {
-    return this.records.size === 0 && this.own.size === 0;
+    return this.fleetRecords.size === 0 && this.localRecords.size === 0;
   }
 
-  /** Contents that are held back. */
+  /** Number of quarantined contents. */
   get heldCount(): number {
-    const keys = new Set([...this.records.keys(), ...this.own.keys()]);
+    const keys = new Set([...this.fleetRecords.keys(), ...this.localRecords.keys()]);
     return [...keys].filter((key) => this.status(key).kind === 'held').length;
   }
 
-  /** Takes news of the fleet's record; gives the keys of contents that are held back from now on. */
+  /** Applies changes of the fleet's record; returns the keys of newly quarantined contents. */
   take({ records, isWhole }: CrashChanges): string[] {
-    const newlyHeld: string[] = [];
-    if (isWhole) this.keepOnly(new Set(records.map(({ contentKey }) => contentKey)));
+    const newlyQuarantined: string[] = [];
+    if (isWhole) this.removeUnlisted(new Set(records.map(({ contentKey }) => contentKey)));
     for (const { contentKey, ...record } of records) {
       const { crashes, number } = record;
-      if (number <= this.changeKnownOf(contentKey)) continue;
-      const wasHeld = isSuspect(this.newest(contentKey));
-      const ownCrashes = this.own.get(contentKey)?.crashes ?? 0;
-      if (crashes === 0 || crashes >= ownCrashes) this.own.delete(contentKey);
+      if (number <= this.lastChangeOf(contentKey)) continue;
+      const wasQuarantined = isQuarantined(this.currentRecord(contentKey));
+      const localCrashes = this.localRecords.get(contentKey)?.crashes ?? 0;
+      if (crashes === 0 || crashes >= localCrashes) this.localRecords.delete(contentKey);
       if (crashes === 0) this.clear(contentKey, number);
-      else this.records.set(contentKey, { ...record, heardAtMs: this.nowMs() });
-      if (!wasHeld && isSuspect(record)) newlyHeld.push(contentKey);
+      else this.fleetRecords.set(contentKey, { ...record, receivedAtMs: this.nowMs() });
+      if (!wasQuarantined && isQuarantined(record)) newlyQuarantined.push(contentKey);
     }
-    return newlyHeld;
+    return newlyQuarantined;
   }
 
-  /** Ends that count against a content. */
+  /** Returns the number of crashes that count against a content. */
   crashesOf(contentKey: string): number {
-    return this.newest(contentKey).crashes;
+    return this.currentRecord(contentKey).crashes;
   }
 
-  /** How a content stands now. */
+  /** Returns the present status of a content. */
   status(contentKey: string): ContentStatus {
-    const known = this.newest(contentKey);
-    if (!isSuspect(known)) return { kind: 'free' };
-    const { trials, heardAtMs } = known;
-    const forMs = heardAtMs + (HOLD_MS[trials] ?? LONGEST_HOLD_MS) - this.nowMs();
+    const known = this.currentRecord(contentKey);
+    if (!isQuarantined(known)) return { kind: 'free' };
+    const { trials, receivedAtMs } = known;
+    const forMs = receivedAtMs + (QUARANTINE_MS[trials] ?? MAX_QUARANTINE_MS) - this.nowMs();
     return forMs > 0 ? { kind: 'held', forMs } : { kind: 'trialDue', trials };
   }
 
-  /** Notes an end that this entry saw, before the fleet knows of it. */
+  /** Records a crash that this entry observed, before the fleet's record includes it. */
   crashed(contentKey: string, crash: CountedCrash): void {
-    const known = this.newest(contentKey);
+    const known = this.currentRecord(contentKey);
     const counted = countCrash(known, crash);
     if (counted === undefined) return;
     const { trials } = known;
-    this.own.set(contentKey, { ...counted, trials, number: 0, heardAtMs: this.nowMs() });
-    dropOldest(this.own, MAX_OWN);
+    this.localRecords.set(contentKey, {
+      ...counted,
+      trials,
+      number: 0,
+      receivedAtMs: this.nowMs(),
+    });
+    dropOldest(this.localRecords, MAX_LOCAL_RECORDS);
   }
 
-  /** Notes that an endpoint lived through a run; true where the content was blamed for something. */
+  /** Records a run without a crash; returns true if crashes were attributed to the content. */
   survived(contentKey: string): boolean {
-    if (!this.own.has(contentKey) && !this.records.has(contentKey)) return false;
-    this.own.delete(contentKey);
-    this.clear(contentKey, this.changeKnownOf(contentKey));
+    if (!this.localRecords.has(contentKey) && !this.fleetRecords.has(contentKey)) return false;
+    this.localRecords.delete(contentKey);
+    this.clear(contentKey, this.lastChangeOf(contentKey));
     return true;
   }
 
-  private changeKnownOf(contentKey: string): number {
-    return this.records.get(contentKey)?.number ?? this.cleared.get(contentKey) ?? 0;
+  private lastChangeOf(contentKey: string): number {
+    return this.fleetRecords.get(contentKey)?.number ?? this.cleared.get(contentKey) ?? 0;
   }
 
   private clear(contentKey: string, number: number): void {
-    this.records.delete(contentKey);
+    this.fleetRecords.delete(contentKey);
     this.cleared.delete(contentKey);
     this.cleared.set(contentKey, number);
-    dropOldest(this.cleared, MAX_CLEARED);
+    dropOldest(this.cleared, MAX_CLEARED_RECORDS);
   }
 
-  private newest(contentKey: string): KnownRecord {
-    const own = this.own.get(contentKey);
-    const fleets = this.records.get(contentKey);
-    const known = (own?.crashes ?? 0) > (fleets?.crashes ?? 0) ? own : fleets;
-    if (known === undefined || this.isForgotten(known)) {
-      return NOTHING;
+  private currentRecord(contentKey: string): KnownRecord {
+    const local = this.localRecords.get(contentKey);
+    const fromFleet = this.fleetRecords.get(contentKey);
+    const known = (local?.crashes ?? 0) > (fromFleet?.crashes ?? 0) ? local : fromFleet;
+    if (known === undefined || this.isExpired(known)) {
+      return NO_RECORD;
     }
     return known;
   }
 
-  private isForgotten(known: KnownRecord): boolean {
-    return !isSuspect(known) && this.nowMs() - known.heardAtMs > SUSPECT_MS;
+  private isExpired(known: KnownRecord): boolean {
+    return !isQuarantined(known) && this.nowMs() - known.receivedAtMs > SINGLE_CRASH_EXPIRY_MS;
   }
 
-  private keepOnly(contentKeys: ReadonlySet<string>): void {
-    for (const key of this.records.keys()) if (!contentKeys.has(key)) this.records.delete(key);
+  private removeUnlisted(contentKeys: ReadonlySet<string>): void {
+    for (const key of this.fleetRecords.keys())
+      if (!contentKeys.has(key)) this.fleetRecords.delete(key);
   }
 }
 
-function dropOldest(map: Map<string, unknown>, most: number): void {
+function dropOldest(map: Map<string, unknown>, maxSize: number): void {
   const [oldest] = map.keys();
-  if (map.size > most && oldest !== undefined) map.delete(oldest);
+  if (map.size > maxSize && oldest !== undefined) map.delete(oldest);
 }
