--- a/packages/quota/src/index.ts
+++ b/packages/quota/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * How many requests of a workspace may pass, over all entries together.
+ * Limits the requests of a workspace over all entries together.
  */
 export * from './messages.js';
 export * from './tolerance.js';
--- a/packages/quota/src/messages.ts
+++ b/packages/quota/src/messages.ts
@@ -1,42 +1,44 @@
 /**
- * What an entry and the keeper of a workspace's count tell each other.
+ * Messages between an entry and the counter of a workspace: the control process that counts the
+ * requests of this workspace.
  */
 import type { RateLimit } from '@shedline/types';
 
-/** Parts of a window in which requests are counted. */
+/** Number of slices into which a window is divided to count requests. */
 export const WINDOW_SLICES = 10;
 
-/** A limit, and the version of the configuration that set it: a keeper goes by the newest that it heard of. */
+/** A limit and the version of its configuration; a counter applies the newest version received. */
 export interface QuotaTerms extends RateLimit {
   readonly version: number;
 }
 
-/** Requests that an entry let in without asking; negative where some of them did not run after all. */
+/** Reports requests that an entry admitted without a grant of the counter. */
 export interface UsageReport {
   readonly workspace: string;
   readonly terms: QuotaTerms;
+  /** Requests since the last report; negative if more of them were returned than admitted. */
   readonly used: number;
   /**
-   * What it let in over the last window, told once to a keeper that is new to it, since the keeper before knew of
-   * these: by slices of the window, see {@link WINDOW_SLICES}, the newest first.
+   * Requests that the entry admitted over the last window, which only the former counter knows.
+   * Sent once to a new counter, by slices of the window (see {@link WINDOW_SLICES}), newest first.
    */
   readonly usedBefore?: readonly number[];
 }
 
-/** Asks whether requests may pass. */
+/** Requests grants for waiting requests of a workspace. */
 export interface QuotaRequest {
   readonly workspace: string;
   readonly terms: QuotaTerms;
-  /** Requests that wait for the answer. */
+  /** Number of requests that wait for the reply. */
   readonly wanted: number;
 }
 
-/** Answer to {@link QuotaRequest}. */
+/** Reply to {@link QuotaRequest}. */
 export interface QuotaAnswer {
-  /** Requests that may pass. */
+  /** Number of requests that are admitted. */
   readonly granted: number;
-  /** Time until there is room for the first of the others, those refused before them counted in. */
+  /** Time until the first refused request can be admitted, after those refused earlier. */
   readonly roomInMs: number;
-  /** Time between the room for one and for the next. */
+  /** Time between two admitted requests at the limit's rate. */
   readonly spacingMs: number;
 }
--- a/packages/quota/src/request-ledger.ts
+++ b/packages/quota/src/request-ledger.ts
@@ -1,62 +1,69 @@
 /**
- * Counts the requests of workspaces at the process that keeps their counts. Entries let requests pass and
- * tell of them afterwards; where a workspace is near its limit, the keeper says so and they ask first.
+ * Counts the requests of workspaces, at the process that is their counter. Entries admit requests
+ * and report them afterwards; while a workspace is near its limit, the counter notifies the entries
+ * and they request a grant first.
  *
- * It answers loads from a few requests a second that come through dozens of entries, none of which sees
- * enough of them to judge, up to a workspace that sends ten times its limit at all of them at once.
+ * This covers loads from a few requests a second over dozens of entries, none of which receives
+ * enough of them to enforce the limit, up to a workspace that sends ten times its limit to all
+ * entries at once.
  */
 import { WINDOW_SLICES } from './messages.js';
 import type { QuotaAnswer, QuotaRequest, QuotaTerms, UsageReport } from './messages.js';
-import { headroom } from './tolerance.js';
+import { extraBurst } from './tolerance.js';
 import type { QuotaTolerance } from './tolerance.js';
 
 /**
- * Part of the largest burst below which entries have to ask first. What comes between a report and the
- * answer to it must fit in: 70 ms at ten times the limit are 0.7 seconds' worth of the rate, where a burst is
- * commonly one second's worth and the tolerance covers the difference.
+ * Share of the capacity below which a workspace is near its limit, so that entries request grants.
+ * It must cover the requests between a report and its reply: 70 ms at ten times the limit are 0.7 s
+ * of the rate, while a burst is commonly 1 s of the rate and the tolerance covers the difference.
  */
-const NEAR_SHARE = 0.5;
-/** Longest wait that is told; callers do not come back later than that. */
+const NEAR_LIMIT_SHARE = 0.5;
+/** Longest wait that is reported; callers do not retry later than that. */
 const MAX_WAIT_MS = 10_000;
-/** Time without news of a workspace after which its count is dropped: its burst is withheld when it is heard of again. */
-const FORGET_AFTER_MS = 600_000;
 /**
- * Time for which the burst is withheld by a process that takes a count over: entries look every half a second
- * whether there is a new keeper, and tell it what they let in before.
+ * Time without reports or requests after which the count of a workspace is removed. If it is
+ * reported again, its burst is withheld as after a takeover.
  */
-const TAKEOVER_MS = 600;
-/** Pause between two calls of {@link RequestLedger.tick} beyond which this process has stood still. */
-const STOOD_STILL_MS = 2000;
+const IDLE_EXPIRY_MS = 600_000;
+/**
+ * Time for which a new counter withholds the burst. Entries check every half a second for a new
+ * counter, and report to it what they admitted before.
+ */
+const TAKEOVER_WAIT_MS = 600;
+/** Time between two calls of {@link RequestLedger.tick} from which this process was suspended. */
+const SUSPENSION_GAP_MS = 2000;
 
 /** Options of {@link RequestLedger}. */
 export interface RequestLedgerOptions {
   readonly tolerance: QuotaTolerance;
+  /** Start of this process. */
   readonly startedAtMs: number;
 }
 
+/** Token bucket of one workspace. */
 interface Account {
   terms: QuotaTerms;
-  /** Requests that may pass now; negative where more has passed than was known. */
+  /** Requests that may be admitted now; negative if more were admitted than allowed. */
   level: number;
-  /** Part of the burst that may have been given out by another process; it is added when that is known. */
+  /** Part of the burst that another process may have granted; released when usage is known. */
   withheld: number;
   withheldUntilMs: number;
-  filledAtMs: number;
-  heardAtMs: number;
-  /** What entries say to have let in before this process kept the count. */
-  usedBefore: number[];
-  /** When this process began to keep the count. */
-  beganAtMs: number;
-  /** Until when the room is spoken for by those that were told to come back. */
-  promisedUntilMs: number;
+  refilledAtMs: number;
+  updatedAtMs: number;
+  /** Requests admitted before this process became the counter, by slices of the window. */
+  earlierUsage: number[];
+  /** Time at which this process became the counter. */
+  countingSinceMs: number;
+  /** Time until which the rate is reserved for refused requests that are expected to retry. */
+  reservedUntilMs: number;
 }
 
-/** The counts that one process keeps. */
+/** Request counts of the workspaces whose counter is this process. */
 export class RequestLedger {
   private readonly tolerance: QuotaTolerance;
   private readonly accounts = new Map<string, Account>();
   private startedAtMs: number;
-  private tickedAtMs: number | undefined;
+  private lastTickAtMs: number | undefined;
 
   constructor({ tolerance, startedAtMs }: RequestLedgerOptions) {
     this.tolerance = tolerance;
@@ -67,20 +74,20 @@
     return this.tolerance.windowMs / WINDOW_SLICES;
   }
 
-  /** Workspaces whose count is kept here. */
+  /** Number of workspaces that are counted here. */
   get size(): number {
     return this.accounts.size;
   }
 
-  /** Counts requests that have passed; says whether the workspace is near its limit. */
+  /** Counts admitted requests; returns whether the workspace is near its limit. */
   report({ workspace, terms, used, usedBefore = [] }: UsageReport, nowMs: number): boolean {
     const account = this.accountOf(workspace, terms, nowMs);
-    this.countEarlier(account, usedBefore, nowMs);
+    this.addEarlierUsage(account, usedBefore, nowMs);
     account.level = Math.min(this.capacity(account), account.level - used);
-    return this.isNear(account);
+    return this.isNearLimit(account);
   }
 
-  /** Lets requests pass as far as there is room. */
+  /** Grants as many of the requests as the limit allows now. */
   ask({ workspace, terms, wanted }: QuotaRequest, nowMs: number): QuotaAnswer {
     const account = this.accountOf(workspace, terms, nowMs);
     const granted = Math.max(0, Math.min(wanted, Math.floor(account.level)));
@@ -90,103 +97,105 @@
     const refused = wanted - granted;
     if (refused === 0) return { granted, roomInMs: 0, spacingMs };
     const missing = Math.max(0, 1 - account.level);
-    const roomAtMs = Math.max(nowMs + missing * spacingMs, account.promisedUntilMs);
+    const freeAtMs = Math.max(nowMs + missing * spacingMs, account.reservedUntilMs);
     const latestMs = nowMs + MAX_WAIT_MS;
-    account.promisedUntilMs = Math.min(latestMs, roomAtMs + refused * spacingMs);
-    return { granted, roomInMs: Math.min(latestMs, roomAtMs) - nowMs, spacingMs };
+    account.reservedUntilMs = Math.min(latestMs, freeAtMs + refused * spacingMs);
+    return { granted, roomInMs: Math.min(latestMs, freeAtMs) - nowMs, spacingMs };
   }
 
-  /** The workspaces that are near their limits; entries must ask before a request of these passes. */
+  /** Returns the workspaces near their limits, for whose requests entries need a grant. */
   near(nowMs: number): string[] {
     const names: string[] = [];
     for (const [name, account] of this.accounts) {
-      this.fill(account, nowMs);
-      if (this.isNear(account)) names.push(name);
+      this.refill(account, nowMs);
+      if (this.isNearLimit(account)) names.push(name);
     }
     return names;
   }
 
   /**
-   * Called several times a second. Whoever stood still counts anew: others have kept the counts meanwhile, and a
-   * bucket that filled up here would be given out a second time.
+   * Removes idle counts; called several times a second. After a suspension all counts start anew:
+   * other processes were the counters meanwhile, and buckets refilled here would be granted twice.
    */
   tick(nowMs: number): void {
-    if (nowMs - (this.tickedAtMs ?? nowMs) > STOOD_STILL_MS) {
+    if (nowMs - (this.lastTickAtMs ?? nowMs) > SUSPENSION_GAP_MS) {
       this.accounts.clear();
       this.startedAtMs = nowMs;
     }
-    this.tickedAtMs = nowMs;
-    for (const [name, { heardAtMs }] of this.accounts) {
-      if (nowMs - heardAtMs > FORGET_AFTER_MS) this.accounts.delete(name);
+    this.lastTickAtMs = nowMs;
+    for (const [name, { updatedAtMs }] of this.accounts) {
+      if (nowMs - updatedAtMs > IDLE_EXPIRY_MS) this.accounts.delete(name);
     }
   }
 
   private accountOf(workspace: string, terms: QuotaTerms, nowMs: number): Account {
     const known = this.accounts.get(workspace);
     if (known !== undefined) {
-      this.fill(known, nowMs);
+      this.refill(known, nowMs);
       if (terms.version > known.terms.version) known.terms = terms;
       known.level = Math.min(known.level, this.capacity(known));
-      known.heardAtMs = nowMs;
+      known.updatedAtMs = nowMs;
       return known;
     }
     const ageMs = nowMs - this.startedAtMs;
-    const isYoung = ageMs < this.tolerance.windowMs;
-    const gained = isYoung ? Math.min(terms.burst, (ageMs * terms.ratePerS) / 1000) : 0;
+    const isNewProcess = ageMs < this.tolerance.windowMs;
+    const gained = isNewProcess ? Math.min(terms.burst, (ageMs * terms.ratePerS) / 1000) : 0;
     const fresh: Account = {
       terms,
-      level: Math.max(1, headroom(terms, this.tolerance) + gained),
-      // Entries that started with this process cannot tell what they let in before: its burst is gained from nothing.
-      withheld: isYoung ? 0 : terms.burst,
-      withheldUntilMs: nowMs + TAKEOVER_MS,
-      filledAtMs: nowMs,
-      heardAtMs: nowMs,
-      usedBefore: [],
-      beganAtMs: nowMs,
-      promisedUntilMs: nowMs,
+      level: Math.max(1, extraBurst(terms, this.tolerance) + gained),
+      // Entries that started together with this process cannot report earlier requests, so the
+      // burst accrues from zero instead of being withheld.
+      withheld: isNewProcess ? 0 : terms.burst,
+      withheldUntilMs: nowMs + TAKEOVER_WAIT_MS,
+      refilledAtMs: nowMs,
+      updatedAtMs: nowMs,
+      earlierUsage: [],
+      countingSinceMs: nowMs,
+      reservedUntilMs: nowMs,
     };
     this.accounts.set(workspace, fresh);
     return fresh;
   }
 
-  /** Adds what an entry let in before; slices are aligned to the moment at which the count began here. */
-  private countEarlier(account: Account, usedBefore: readonly number[], nowMs: number): void {
-    const passed = Math.round((nowMs - account.beganAtMs) / this.sliceMs);
+  /** Adds earlier requests of an entry; slices are aligned to the time when counting began here. */
+  private addEarlierUsage(account: Account, usedBefore: readonly number[], nowMs: number): void {
+    const elapsedSlices = Math.round((nowMs - account.countingSinceMs) / this.sliceMs);
     for (const [age, used] of usedBefore.entries()) {
-      const slice = Math.max(0, age - passed);
-      account.usedBefore[slice] = (account.usedBefore[slice] ?? 0) + used;
+      const slice = Math.max(0, age - elapsedSlices);
+      account.earlierUsage[slice] = (account.earlierUsage[slice] ?? 0) + used;
     }
   }
 
   /**
-   * What of the burst was left when the count began here. A window before nothing is taken to have been left: a
-   * workspace that has sent at its limit for long looks like one that has just begun to.
+   * Returns the part of the burst that was left when counting began here. It assumes that nothing
+   * was left one window earlier, since a workspace that has long sent at its limit cannot be
+   * distinguished from one that has just begun to.
    */
-  private leftOfBurst({ terms, usedBefore }: Account): number {
+  private remainingBurst({ terms, earlierUsage }: Account): number {
     const gained = (terms.ratePerS * this.sliceMs) / 1000;
     let left = 0;
     for (let slice = WINDOW_SLICES - 1; slice > 0; slice -= 1) {
-      left = Math.min(terms.burst, left + gained) - (usedBefore[slice] ?? 0);
+      left = Math.min(terms.burst, left + gained) - (earlierUsage[slice] ?? 0);
     }
-    // The newest slice had just begun, so it gained less than it is known to have used.
-    return Math.max(0, left - (usedBefore[0] ?? 0));
+    // The newest slice had just begun, so nothing is added for it before its usage is subtracted.
+    return Math.max(0, left - (earlierUsage[0] ?? 0));
   }
 
-  private fill(account: Account, nowMs: number): void {
-    const gained = (Math.max(0, nowMs - account.filledAtMs) / 1000) * account.terms.ratePerS;
-    account.filledAtMs = nowMs;
-    const isSettled = account.withheld > 0 && nowMs >= account.withheldUntilMs;
-    const released = isSettled ? this.leftOfBurst(account) : 0;
-    if (isSettled) account.withheld = 0;
+  private refill(account: Account, nowMs: number): void {
+    const gained = (Math.max(0, nowMs - account.refilledAtMs) / 1000) * account.terms.ratePerS;
+    account.refilledAtMs = nowMs;
+    const isReleased = account.withheld > 0 && nowMs >= account.withheldUntilMs;
+    const released = isReleased ? this.remainingBurst(account) : 0;
+    if (isReleased) account.withheld = 0;
     account.level = Math.min(this.capacity(account), account.level + gained + released);
   }
 
-  private isNear(account: Account): boolean {
-    return account.level < NEAR_SHARE * this.capacity(account);
+  private isNearLimit(account: Account): boolean {
+    return account.level < NEAR_LIMIT_SHARE * this.capacity(account);
   }
 
-  /** The most that may pass at once. */
+  /** Returns the largest number of requests that may be admitted at once. */
   private capacity({ terms, withheld }: Account): number {
-    return Math.max(1, terms.burst + headroom(terms, this.tolerance) - withheld);
+    return Math.max(1, terms.burst + extraBurst(terms, this.tolerance) - withheld);
   }
 }
--- a/packages/quota/src/request-share.test.ts
+++ b/packages/quota/src/request-share.test.ts
@@ -20,51 +20,48 @@
   return share;
 }
 
-describe('an entry that reaches no keeper', () => {
-  test(title('lets in, with all others like it, no more than the limit in any window'), (t) => {
+describe('an entry that reaches no counter', () => {
+  test(title('admits, together with all such entries, no more than the limit in a window'), (t) => {
     const entryCounts = fc.integer({ min: 1, max: 60 });
     const limits = fc.record({ ratePerS: fc.integer({ min: 1, max: 60 }), burst: fc.nat(60) });
     fc.assert(
       fc.property(entryCounts, limits, fc.nat(1000), (entryCount, { ratePerS, burst }, seed) => {
         const own = terms(ratePerS, burst);
         const shares = Array.from({ length: entryCount }, (_, index) => shareOf(index, entryCount));
-        let passed = 0;
+        let admitted = 0;
         for (let nowMs = seed; nowMs < seed + TOLERANCE.windowMs; nowMs += 50) {
           for (const share of shares) {
             if (!share.mayPassAlone('w', own, nowMs)) continue;
             share.passed('w', own, { isCounted: false, nowMs });
-            passed += 1;
+            admitted += 1;
           }
         }
         const allowed = allowedInWindow(own, TOLERANCE);
-        // Parts of a request fall to entries by lot, so their number varies by a few around its mean.
-        t.true(passed <= allowed + 3 * Math.sqrt(entryCount), `${passed} of ${allowed}`);
+        // Fractions are rounded up by hash, so the number of such entries varies around its mean.
+        t.true(admitted <= allowed + 3 * Math.sqrt(entryCount), `${admitted} of ${allowed}`);
       }),
       { seed: 21, numRuns: 60 },
     );
   });
 
-  test(
-    title('goes on with what it let in before, though its part of the limit is smaller'),
-    (t) => {
-      const share = shareOf(0, 50);
-      const own = terms(20);
-      let nowMs = 0;
-      for (; nowMs < 5000; nowMs += 250) share.passed('w', own, { isCounted: false, nowMs });
-      t.is(share.wayOf('w', false, nowMs), 'alone');
-      let passed = 0;
-      for (; nowMs < 10_000; nowMs += 50) {
-        if (!share.mayPassAlone('w', own, nowMs)) continue;
-        share.passed('w', own, { isCounted: false, nowMs });
-        passed += 1;
-      }
-      t.true(passed >= 18 && passed <= 22, String(passed));
-    },
-  );
+  test(title('admits as much as before, even if its part of the limit is smaller'), (t) => {
+    const share = shareOf(0, 50);
+    const own = terms(20);
+    let nowMs = 0;
+    for (; nowMs < 5000; nowMs += 250) share.passed('w', own, { isCounted: false, nowMs });
+    t.is(share.wayOf('w', false, nowMs), 'alone');
+    let admitted = 0;
+    for (; nowMs < 10_000; nowMs += 50) {
+      if (!share.mayPassAlone('w', own, nowMs)) continue;
+      share.passed('w', own, { isCounted: false, nowMs });
+      admitted += 1;
+    }
+    t.true(admitted >= 18 && admitted <= 22, String(admitted));
+  });
 });
 
-describe('an entry that reaches a keeper', () => {
-  test(title('tells each request once, and a new keeper what it let in before'), (t) => {
+describe('an entry that reaches a counter', () => {
+  test(title('reports each request once, and its earlier requests to a new counter'), (t) => {
     const share = shareOf(0, 3);
     const own = terms(5);
     const reportsTo = (counter: string | undefined, nowMs: number): unknown => [
@@ -76,7 +73,7 @@
     t.deepEqual(reportsTo('a', 200), [['a', [{ ...report, used: 1 }]]]);
     t.deepEqual(reportsTo('a', 300), []);
     share.givenBack('w', own, 400);
-    t.deepEqual(reportsTo(undefined, 450), [], 'kept until a keeper is reached');
+    t.deepEqual(reportsTo(undefined, 450), [], 'kept until a counter is reached');
     t.deepEqual(reportsTo('a', 500), [['a', [{ ...report, used: -1 }]]]);
     share.passed('w', own, { isCounted: false, nowMs: 1100 });
     const usedBefore = [0, 0, 1, 0, 0, 0, 0, 0, 0, 0];
@@ -84,7 +81,7 @@
     t.deepEqual(reportsTo('b', 1300), []);
   });
 
-  test(title('asks for a workspace near its limit, as long as the keeper says so'), (t) => {
+  test(title('requires grants near the limit until the notification expires'), (t) => {
     const share = shareOf(0, 3);
     t.is(share.wayOf('w', true, 0), 'open');
     share.hearNear(['w'], 0);
--- a/packages/quota/src/request-share.ts
+++ b/packages/quota/src/request-share.ts
@@ -1,6 +1,7 @@
 /**
- * An entry's side of the limits: whether a request of a workspace passes at once, has to be asked for, or must be
- * judged without anybody else; and what the keepers of the counts are told.
+ * An entry's part in enforcing the limits of workspaces: decides whether a request is admitted at
+ * once, needs a grant of the workspace's counter, or is limited by this entry's own count, and
+ * collects the reports to the counters.
  */
 import { unitHash } from '@shedline/types';
 import { WINDOW_SLICES } from './messages.js';
@@ -8,15 +9,18 @@
 import { allowedInWindow } from './tolerance.js';
 import type { QuotaTolerance } from './tolerance.js';
 
-/** How a request is let in: `open`, at once; `ask`, if the keeper allows it; `alone`, by this entry's own count. */
-export type PassWay = 'open' | 'ask' | 'alone';
+/**
+ * How a request is admitted: `open`, at once; `ask`, if the counter grants it; `alone`, by this
+ * entry's own count, while no counter can be reached.
+ */
+export type PassMode = 'open' | 'ask' | 'alone';
 
-/** Time between the words of a keeper on the workspaces that are near their limits. */
+/** Interval of a counter's notifications about workspaces near their limits. */
 export const NEAR_INTERVAL_MS = 500;
-/** Time for which such a word holds: a lost one is made up for by the next. */
-const NEAR_LEASE_MS = 3 * NEAR_INTERVAL_MS;
-/** Time without requests after which the count of a workspace is dropped, as a multiple of the window. */
-const FORGET_WINDOWS = 4;
+/** Lifetime of a notification; long enough to tolerate the loss of one. */
+const NEAR_LIMIT_LEASE_MS = 3 * NEAR_INTERVAL_MS;
+/** Windows without requests after which the count of a workspace is removed. */
+const IDLE_EXPIRY_WINDOWS = 4;
 
 /** Options of {@link RequestShare}. */
 export interface RequestShareOptions {
@@ -25,49 +29,51 @@
   readonly tolerance: QuotaTolerance;
 }
 
-interface OwnCount {
+/** This entry's count of one workspace. */
+interface LocalCount {
   terms: QuotaTerms;
-  /** Not told yet. */
+  /** Admitted requests that no counter knows of yet. */
   unreported: number;
-  /** The process that was told last; undefined before the first. */
-  counter: string | undefined;
-  /** Requests let in, by the number of the slice of time. */
+  /** Counter that received the last report; undefined before the first report. */
+  lastCounter: string | undefined;
+  /** Admitted requests, by the number of the time slice. */
   readonly bySlice: Map<number, number>;
-  /** Requests let in over the window before the keepers were out of reach. */
-  beforeAlone: number | undefined;
+  /** Requests admitted over the window before the counter became unreachable. */
+  usedBeforeAlone: number | undefined;
   usedAtMs: number;
 }
 
-/** What one entry lets in. */
+/** One entry's share of the requests of each workspace. */
 export class RequestShare {
   private readonly self: string;
   private readonly tolerance: QuotaTolerance;
-  private readonly counts = new Map<string, OwnCount>();
+  private readonly counts = new Map<string, LocalCount>();
   private readonly nearUntilMs = new Map<string, number>();
-  private mostEntries = 1;
+  private maxEntryCount = 1;
 
   constructor({ self, tolerance }: RequestShareOptions) {
     this.self = self;
     this.tolerance = tolerance;
   }
 
-  /** How a request of a workspace is to be let in; `isReached`: the keeper of its count can be asked. */
-  wayOf(workspace: string, isReached: boolean, nowMs: number): PassWay {
-    if (!isReached) return 'alone';
+  /** Returns how a request of a workspace is admitted. */
+  wayOf(workspace: string, isCounterReachable: boolean, nowMs: number): PassMode {
+    if (!isCounterReachable) return 'alone';
     return (this.nearUntilMs.get(workspace) ?? -Infinity) > nowMs ? 'ask' : 'open';
   }
 
-  /** A keeper says which workspaces are near their limits. */
+  /** Applies a counter's notification about workspaces near their limits. */
   hearNear(workspaces: readonly string[], nowMs: number): void {
-    for (const workspace of workspaces) this.nearUntilMs.set(workspace, nowMs + NEAR_LEASE_MS);
+    for (const workspace of workspaces)
+      this.nearUntilMs.set(workspace, nowMs + NEAR_LIMIT_LEASE_MS);
   }
 
-  /** Notes how many entries there are; the most ever known counts, since those that are cut off go on. */
+  /** Sets the number of entries. The largest value ever is used, as partitioned entries go on. */
   noteEntries(count: number): void {
-    this.mostEntries = Math.max(this.mostEntries, count);
+    this.maxEntryCount = Math.max(this.maxEntryCount, count);
   }
 
-  /** Notes a request that passed. `isCounted`: the keeper knows of it, as it was asked. */
+  /** Records an admitted request. `isCounted`: the counter granted it, so it needs no report. */
   passed(
     workspace: string,
     terms: QuotaTerms,
@@ -79,7 +85,7 @@
     if (!isCounted) count.unreported += 1;
   }
 
-  /** Notes that a request which had passed was not run: its caller's next attempt counts, not this one. */
+  /** Records that an admitted request did not run, so that only the caller's retry counts. */
   givenBack(workspace: string, terms: QuotaTerms, nowMs: number): void {
     const count = this.countOf(workspace, terms, nowMs);
     const slice = this.sliceAt(nowMs);
@@ -88,20 +94,21 @@
   }
 
   /**
-   * Whether a request may pass though no keeper can be asked. Each entry has its part of the limit, or what it
-   * let in over a window before, whichever is more: what all let in together was within the limit then. Parts
-   * below one request fall to as many entries as there are whole ones.
+   * Whether a request may be admitted while no counter can be reached. Each entry has an equal part
+   * of the limit, or what it admitted in the window before if that is more, since the sum over all
+   * entries was within the limit then. The fraction of a request in each part is rounded up at a
+   * matching share of the entries, chosen by hash.
    */
   mayPassAlone(workspace: string, terms: QuotaTerms, nowMs: number): boolean {
     const count = this.countOf(workspace, terms, nowMs);
-    count.beforeAlone ??= this.usedInWindow(count, nowMs);
-    const part = allowedInWindow(terms, this.tolerance) / this.mostEntries;
-    const whole = Math.floor(part);
-    const luck = unitHash(`${workspace}|${this.self}`) < part - whole ? 1 : 0;
-    return this.usedInWindow(count, nowMs) < Math.max(whole + luck, count.beforeAlone);
+    count.usedBeforeAlone ??= this.usedInWindow(count, nowMs);
+    const share = allowedInWindow(terms, this.tolerance) / this.maxEntryCount;
+    const wholeRequests = Math.floor(share);
+    const extra = unitHash(`${workspace}|${this.self}`) < share - wholeRequests ? 1 : 0;
+    return this.usedInWindow(count, nowMs) < Math.max(wholeRequests + extra, count.usedBeforeAlone);
   }
 
-  /** What the keepers are to be told; `keeperOf` is undefined where none is reached. */
+  /** Returns the pending reports by counter; `counterOf` is undefined if none is reachable. */
   takeReports(
     counterOf: (workspace: string) => string | undefined,
     nowMs: number,
@@ -110,7 +117,7 @@
     for (const [workspace, count] of this.counts) {
       const counter = counterOf(workspace);
       if (counter === undefined) continue;
-      count.beforeAlone = undefined;
+      count.usedBeforeAlone = undefined;
       const report = this.reportTo(counter, workspace, count, nowMs);
       if (report === undefined) continue;
       const own = reports.get(counter) ?? [];
@@ -120,9 +127,9 @@
     return reports;
   }
 
-  /** Drops the counts of workspaces that send nothing. */
+  /** Removes the counts of idle workspaces, and expired notifications. */
   forgetIdle(nowMs: number): void {
-    const idleMs = FORGET_WINDOWS * this.tolerance.windowMs;
+    const idleMs = IDLE_EXPIRY_WINDOWS * this.tolerance.windowMs;
     for (const [workspace, count] of this.counts) {
       if (nowMs - count.usedAtMs > idleMs && count.unreported === 0) this.counts.delete(workspace);
     }
@@ -134,41 +141,41 @@
   private reportTo(
     counter: string,
     workspace: string,
-    count: OwnCount,
+    count: LocalCount,
     nowMs: number,
   ): UsageReport | undefined {
     const { terms, unreported: used } = count;
-    const isNewCounter = count.counter !== undefined && count.counter !== counter;
+    const isNewCounter = count.lastCounter !== undefined && count.lastCounter !== counter;
     const usedBefore = isNewCounter ? this.usedBySlice(count, nowMs) : [];
-    // What is reported now is counted as such.
+    // Requests of this report are contained in `used` and must not be counted twice.
     if (usedBefore[0] !== undefined) usedBefore[0] = Math.max(0, usedBefore[0] - used);
     const hasHistory = usedBefore.some((slice) => slice > 0);
-    count.counter = counter;
+    count.lastCounter = counter;
     count.unreported = 0;
     if (used === 0 && !hasHistory) return undefined;
     return { workspace, terms, used, ...(hasHistory ? { usedBefore } : {}) };
   }
 
-  private countOf(workspace: string, terms: QuotaTerms, nowMs: number): OwnCount {
+  private countOf(workspace: string, terms: QuotaTerms, nowMs: number): LocalCount {
     const known = this.counts.get(workspace);
     if (known !== undefined) {
       known.terms = terms;
       known.usedAtMs = nowMs;
       return known;
     }
-    const fresh: OwnCount = {
+    const fresh: LocalCount = {
       terms,
       unreported: 0,
-      counter: undefined,
+      lastCounter: undefined,
       bySlice: new Map(),
-      beforeAlone: undefined,
+      usedBeforeAlone: undefined,
       usedAtMs: nowMs,
     };
     this.counts.set(workspace, fresh);
     return fresh;
   }
 
-  private usedInWindow({ bySlice }: OwnCount, nowMs: number): number {
+  private usedInWindow({ bySlice }: LocalCount, nowMs: number): number {
     const oldest = this.sliceAt(nowMs) - WINDOW_SLICES;
     let sum = 0;
     for (const [slice, used] of bySlice) {
@@ -178,8 +185,8 @@
     return Math.max(0, sum);
   }
 
-  /** Requests let in by the slices of the last window, the newest first. */
-  private usedBySlice({ bySlice }: OwnCount, nowMs: number): number[] {
+  /** Returns the requests admitted in the last window by slices, the newest first. */
+  private usedBySlice({ bySlice }: LocalCount, nowMs: number): number[] {
     const newest = this.sliceAt(nowMs);
     return Array.from({ length: WINDOW_SLICES }, (_, age) => bySlice.get(newest - age) ?? 0);
   }
--- a/packages/quota/src/tolerance.ts
+++ b/packages/quota/src/tolerance.ts
@@ -1,28 +1,29 @@
 /**
- * How exactly limits have to be kept. A limit that holds over entries which do not wait for each other is
- * kept within a tolerance that operators state; half of it is given to callers, half to what is heard late.
+ * Tolerance of limits. Entries enforce a common limit without waiting for each other, so it holds
+ * within a tolerance set by the operator. A part of the tolerance extends the burst; the rest
+ * covers delayed reports.
  */
 import type { RateLimit } from '@shedline/types';
 
-/** What operators allow beyond a limit. */
+/** Requests that may be admitted beyond a limit. */
 export interface QuotaTolerance {
-  /** Length of the sliding windows in which a limit is looked at. */
+  /** Length of the sliding windows over which a limit is measured. */
   readonly windowMs: number;
-  /** Share of a limit that may pass beyond it in a window. */
+  /** Tolerated excess in a window, as a share of the requests that the limit allows there. */
   readonly overshootShare: number;
-  /** Requests that may pass beyond that in a window. */
+  /** Tolerated excess in a window beyond that share, in requests. */
   readonly slack: number;
 }
 
 /**
- * Share of the tolerance by which a burst may be larger than the limit says. A keeper that takes a count over
- * lets as much pass again before it knows what was left; the rest covers requests that are under way to the
- * keeper. With half of it, ten times a limit of 60 a second and a keeper that is lost went 80 beyond the
- * limit in 5 s where 56 are tolerated; with this, 42 (model of 56 entries).
+ * Share of the tolerance that extends the burst. A counter that takes over grants this amount again
+ * before it knows what was left; the rest covers requests not yet reported to the counter. With a
+ * share of 0.5, ten times a limit of 60 a second and the loss of a counter exceeded the limit by 80
+ * requests in 5 s, where 56 are tolerated; with 0.4, by 42 (56 entries).
  */
-const GIVEN_SHARE = 0.4;
+const EXTRA_BURST_SHARE = 0.4;
 
-/** Requests that a limit allows in one window, tolerance left out. */
+/** Returns the requests that a limit allows in one window, without the tolerance. */
 export function allowedInWindow(
   { ratePerS, burst }: RateLimit,
   { windowMs }: QuotaTolerance,
@@ -30,8 +31,8 @@
   return (ratePerS * windowMs) / 1000 + burst;
 }
 
-/** Requests by which a burst may be larger than the limit says. */
-export function headroom(limit: RateLimit, tolerance: QuotaTolerance): number {
+/** Returns the number of requests by which the burst may exceed that of the limit. */
+export function extraBurst(limit: RateLimit, tolerance: QuotaTolerance): number {
   const { overshootShare, slack } = tolerance;
-  return GIVEN_SHARE * (overshootShare * allowedInWindow(limit, tolerance) + slack);
+  return EXTRA_BURST_SHARE * (overshootShare * allowedInWindow(limit, tolerance) + slack);
 }
