--- a/packages/routing/src/address-choice.ts
+++ b/packages/routing/src/address-choice.ts
@@ -1,15 +1,15 @@
 /**
- * Which entries a caller should use.
+ * Choice of the entry addresses that a caller is given.
  */
 import { rendezvousOrder, unitHash } from '@shedline/types';
 
-/** An entry that may be handed out. */
+/** An entry whose address may be given to a caller. */
 export interface AddressCandidate {
   readonly entry: string;
   readonly url: string;
   readonly availabilityZone: string;
   readonly draining: boolean;
-  /** Whether the entry's table is current. */
+  /** Whether the entry's table is up to date. */
   readonly fresh: boolean;
   /** Load between 0 and 1. */
   readonly load: number;
@@ -18,9 +18,9 @@
 /** Options of {@link chooseAddresses}. */
 export interface ChooseAddressesOptions {
   readonly candidates: readonly AddressCandidate[];
-  /** Availability zone of the caller, as far as it said. */
+  /** Availability zone of the caller, if the caller stated it. */
   readonly availabilityZone?: string;
-  /** Session that should come to the same entries while they last. */
+  /** Session that should use the same entries for as long as they are available. */
   readonly session?: string;
   readonly random: () => number;
   readonly maxAddresses?: number;
@@ -29,8 +29,9 @@
 const DEFAULT_MAX_ADDRESSES = 3;
 
 /**
- * A few entries in the order in which the caller should try them: its own zone first, less
- * loaded ones likelier, never one that drains or whose table is stale while others are left.
+ * Returns a few entries in the order in which the caller should try them. Entries of its own zone
+ * come first, and less loaded entries are more likely. Draining entries are never returned, and
+ * entries with a stale table only if no other is left.
  */
 export function chooseAddresses(options: ChooseAddressesOptions): AddressCandidate[] {
   const serving = options.candidates.filter((candidate) => !candidate.draining);
@@ -46,28 +47,28 @@
 ): AddressCandidate[] {
   const { availabilityZone, session, random } = options;
   const scored = usable.map((candidate) => {
-    const draw = session === undefined ? random() : unitHash(`${session}|${candidate.entry}`);
+    const sample = session === undefined ? random() : unitHash(`${session}|${candidate.entry}`);
     const weight = Math.max(0.05, 1 - candidate.load);
-    // Weighted order by the method of Efraimidis and Spirakis (2006).
-    const key = Math.max(draw, 1e-9) ** (1 / weight);
-    return { candidate, key, near: candidate.availabilityZone === availabilityZone };
+    // Weighted random order by Efraimidis and Spirakis (2006).
+    const key = Math.max(sample, 1e-9) ** (1 / weight);
+    return { candidate, key, isInZone: candidate.availabilityZone === availabilityZone };
   });
-  scored.sort((a, b) => Number(b.near) - Number(a.near) || b.key - a.key);
-  return withAnotherZone(scored.map(({ candidate }) => candidate));
+  scored.sort((a, b) => Number(b.isInZone) - Number(a.isInZone) || b.key - a.key);
+  return includeAnotherZone(scored.map(({ candidate }) => candidate));
 }
 
-/** The last of the first three comes from another zone, for the loss of a whole zone. */
-function withAnotherZone(ordered: AddressCandidate[]): AddressCandidate[] {
+/** Moves an entry of another zone into the returned ones, so that the loss of a zone is tolerated. */
+function includeAnotherZone(ordered: AddressCandidate[]): AddressCandidate[] {
   const first = ordered[0];
   if (first === undefined || ordered.length <= DEFAULT_MAX_ADDRESSES) return ordered;
   const head = ordered.slice(0, DEFAULT_MAX_ADDRESSES - 1);
   const rest = ordered.slice(DEFAULT_MAX_ADDRESSES - 1);
-  const elsewhere = rest.find((candidate) => candidate.availabilityZone !== first.availabilityZone);
-  if (elsewhere === undefined) return ordered;
-  return [...head, elsewhere, ...rest.filter((candidate) => candidate !== elsewhere)];
+  const other = rest.find((candidate) => candidate.availabilityZone !== first.availabilityZone);
+  if (other === undefined) return ordered;
+  return [...head, other, ...rest.filter((candidate) => candidate !== other)];
 }
 
-/** The endpoint that a session without history begins at, alike on all entries. */
+/** Returns the endpoint for the first request of a session; all entries compute the same one. */
 export function sessionHome(session: string, endpointIds: readonly string[]): string | undefined {
   return rendezvousOrder(`session|${session}`, endpointIds, 1)[0];
 }
--- a/packages/routing/src/load-view.ts
+++ b/packages/routing/src/load-view.ts
@@ -1,46 +1,46 @@
 /**
- * How loaded an endpoint is: what this entry has under way there, what its peers said they
- * have, and what the endpoint reported, which lags.
+ * Estimates the load of endpoints from this entry's own requests, the counts that peer entries
+ * report, and the delayed reports of the endpoints.
  */
 
-/** Time after which the word of a peer about its own requests no longer counts. */
-const PEER_COUNT_LEASE_MS = 3000;
-/** Time in which the unexplained part of a report loses half its weight. */
+/** Time after which the counts reported by a peer expire. */
+const PEER_COUNTS_EXPIRY_MS = 3000;
+/** Half-life of the load that a report of an endpoint attributes to no known entry. */
 const REPORT_HALF_LIFE_MS = 2000;
 
 interface EndpointLoadState {
   ownOnline: number;
   ownBatch: number;
   readonly peers: Map<string, { online: number; batch: number; atMs: number }>;
-  /** Requests that a report told of beyond those of the entries known here. */
-  unexplained: number;
+  /** Requests of the last report beyond those of this entry and its peers. */
+  unattributed: number;
   reportedAtMs: number;
   capacity: number;
 }
 
-/** Load of endpoints as one entry estimates it. */
+/** One entry's estimate of the load of endpoints. */
 export class LoadView {
   private readonly states = new Map<string, EndpointLoadState>();
 
-  /** Notes a request that begins or ends at an endpoint. */
+  /** Records a request of this entry that begins or ends at an endpoint. */
   change(endpointId: string, kind: 'online' | 'batch', by: 1 | -1): void {
-    // What ends at an endpoint that was forgotten says nothing of any other.
+    // The end of a request at a removed endpoint must not add the endpoint again.
     if (by === -1 && !this.states.has(endpointId)) return;
     const state = this.stateOf(endpointId);
     if (kind === 'online') state.ownOnline = Math.max(0, state.ownOnline + by);
     else state.ownBatch = Math.max(0, state.ownBatch + by);
   }
 
-  /** Takes a report of the endpoint itself, made `ageMs` ago. */
+  /** Applies a report of the endpoint itself, made `ageMs` ago. */
   report(endpointId: string, total: number, capacity: number, ageMs: number, nowMs: number): void {
     const state = this.stateOf(endpointId);
-    const explained = this.online(endpointId, nowMs, false) + this.batch(endpointId, nowMs);
-    state.unexplained = Math.max(0, total - explained);
+    const attributed = this.online(endpointId, nowMs, false) + this.batch(endpointId, nowMs);
+    state.unattributed = Math.max(0, total - attributed);
     state.reportedAtMs = nowMs - ageMs;
     state.capacity = capacity;
   }
 
-  /** Takes what a peer entry has under way at an endpoint. */
+  /** Applies the counts of requests that a peer entry has in progress at an endpoint. */
   peerCount(
     endpointId: string,
     peer: string,
@@ -52,35 +52,35 @@
     else peers.set(peer, { ...counts, atMs: nowMs });
   }
 
-  /** Online requests at an endpoint, with or without what only the endpoint knows of. */
-  online(endpointId: string, nowMs: number, withUnexplained = true): number {
+  /** Returns the online requests at an endpoint; unattributed load is included by default. */
+  online(endpointId: string, nowMs: number, includesUnattributed = true): number {
     const state = this.states.get(endpointId);
     if (state === undefined) return 0;
     let total = state.ownOnline;
-    for (const count of this.freshPeers(state, nowMs)) total += count.online;
-    return withUnexplained ? total + this.agedUnexplained(state, nowMs) : total;
+    for (const count of this.currentPeerCounts(state, nowMs)) total += count.online;
+    return includesUnattributed ? total + this.decayedUnattributed(state, nowMs) : total;
   }
 
-  /** Online requests of this entry at an endpoint. */
+  /** Returns the online requests of this entry at an endpoint. */
   ownOnline(endpointId: string): number {
     return this.states.get(endpointId)?.ownOnline ?? 0;
   }
 
-  /** Batch requests at an endpoint. */
+  /** Returns the batch requests at an endpoint. */
   batch(endpointId: string, nowMs: number): number {
     const state = this.states.get(endpointId);
     if (state === undefined) return 0;
     let total = state.ownBatch;
-    for (const count of this.freshPeers(state, nowMs)) total += count.batch;
+    for (const count of this.currentPeerCounts(state, nowMs)) total += count.batch;
     return total;
   }
 
-  /** Requests that the endpoint can run at once. */
+  /** Returns the number of requests that the endpoint can run at once. */
   capacity(endpointId: string): number {
     return this.states.get(endpointId)?.capacity ?? 1;
   }
 
-  /** What this entry has under way, for its peers. */
+  /** Returns the counts of requests that this entry has in progress, to send to its peers. */
   own(): { endpointId: string; online: number; batch: number }[] {
     return [...this.states].map(([endpointId, state]) => ({
       endpointId,
@@ -89,14 +89,14 @@
     }));
   }
 
-  /** Forgets all other endpoints. */
+  /** Removes all other endpoints. */
   keepOnly(endpointIds: ReadonlySet<string>): void {
     for (const endpointId of this.states.keys()) {
       if (!endpointIds.has(endpointId)) this.states.delete(endpointId);
     }
   }
 
-  /** Forgets an endpoint. */
+  /** Removes an endpoint. */
   forget(endpointId: string): void {
     this.states.delete(endpointId);
   }
@@ -108,7 +108,7 @@
       ownOnline: 0,
       ownBatch: 0,
       peers: new Map(),
-      unexplained: 0,
+      unattributed: 0,
       reportedAtMs: -Infinity,
       capacity: 1,
     };
@@ -116,15 +116,18 @@
     return fresh;
   }
 
-  private freshPeers(state: EndpointLoadState, nowMs: number): { online: number; batch: number }[] {
+  private currentPeerCounts(
+    state: EndpointLoadState,
+    nowMs: number,
+  ): { online: number; batch: number }[] {
     for (const [peer, count] of state.peers) {
-      if (nowMs - count.atMs > PEER_COUNT_LEASE_MS) state.peers.delete(peer);
+      if (nowMs - count.atMs > PEER_COUNTS_EXPIRY_MS) state.peers.delete(peer);
     }
     return [...state.peers.values()];
   }
 
-  private agedUnexplained(state: EndpointLoadState, nowMs: number): number {
+  private decayedUnattributed(state: EndpointLoadState, nowMs: number): number {
     const ageMs = Math.max(0, nowMs - state.reportedAtMs);
-    return state.unexplained * 0.5 ** (ageMs / REPORT_HALF_LIFE_MS);
+    return state.unattributed * 0.5 ** (ageMs / REPORT_HALF_LIFE_MS);
   }
 }
--- a/packages/routing/src/prefix-index.ts
+++ b/packages/routing/src/prefix-index.ts
@@ -1,9 +1,11 @@
 /**
- * Which endpoints probably hold which prompt prefixes in their caches: learnt from what was
- * sent and from cache events, which come late and with gaps. Bounded.
+ * Index of the prompt prefixes that endpoints probably hold in their prefix caches. It is built
+ * from the requests that were sent and from cache events, which are delayed and may be lost. Its
+ * size is limited.
  */
 
 const DEFAULT_MAX_PREFIXES = 50_000;
+/** Endpoints recorded for each prefix. */
 const MAX_HOLDERS = 6;
 
 /** Options of {@link PrefixIndex}. */
@@ -11,7 +13,7 @@
   readonly maxPrefixes?: number;
 }
 
-/** Likely holders of prefixes, the least recently used forgotten first. */
+/** Likely holders of prefixes; the least recently recorded prefixes are evicted first. */
 export class PrefixIndex {
   private readonly maxPrefixes: number;
   private readonly holders = new Map<string, string[]>();
@@ -20,29 +22,29 @@
     this.maxPrefixes = options.maxPrefixes ?? DEFAULT_MAX_PREFIXES;
   }
 
-  /** Prefixes remembered. */
+  /** Number of recorded prefixes. */
   get size(): number {
     return this.holders.size;
   }
 
-  /** Notes that an endpoint holds prefixes. */
+  /** Records that an endpoint holds prefixes. */
   note(endpointId: string, hashes: readonly string[]): void {
-    for (const hash of hashes) this.noteOne(endpointId, hash);
+    for (const hash of hashes) this.recordHolder(endpointId, hash);
   }
 
-  /** Blocks of the prompt, from its beginning, that each endpoint probably holds. */
+  /** Returns the number of leading blocks of the prompt that each endpoint probably holds. */
   matches(hashes: readonly string[]): Map<string, number> {
     const blocks = new Map<string, number>();
     for (const [position, hash] of hashes.entries()) {
       for (const holder of this.holders.get(hash) ?? []) {
-        // A gap in the events hides a block; a later one still proves the earlier.
+        // An earlier block may be missing after a lost event; holding a later one implies it.
         blocks.set(holder, position + 1);
       }
     }
     return blocks;
   }
 
-  /** Forgets an endpoint that is gone. */
+  /** Removes an endpoint that is no longer available. */
   forget(endpointId: string): void {
     for (const [hash, holders] of this.holders) {
       const kept = holders.filter((holder) => holder !== endpointId);
@@ -51,7 +53,7 @@
     }
   }
 
-  private noteOne(endpointId: string, hash: string): void {
+  private recordHolder(endpointId: string, hash: string): void {
     const known = this.holders.get(hash) ?? [];
     this.holders.delete(hash);
     const others = known.filter((holder) => holder !== endpointId);
--- a/packages/routing/src/routing.test.ts
+++ b/packages/routing/src/routing.test.ts
@@ -30,7 +30,7 @@
     availabilityZone: 'z1',
   };
 
-  test(title('prefers the cached prefix, but not at any load'), (t) => {
+  test(title('prefers an endpoint that holds the prefix, except at high load'), (t) => {
     const heldBlocks = new Map([['e1', 4]]);
     const choose = (load: number): string | undefined =>
       routing.choose({ ...request, heldBlocks, candidates: [candidate(1, { load }), candidate(2)] })
@@ -40,62 +40,53 @@
     t.is(choose(20), 'e2');
   });
 
-  test(
-    title('spreads equal choices instead of herding, and spares newcomers and other zones'),
-    (t) => {
-      const chosen = new Map<string, number>();
-      const candidates = [
-        candidate(1, { load: 2 }),
-        candidate(2, { load: 2 }),
-        candidate(3, { load: 2, slowStartShare: 0.1 }),
-        candidate(4, { load: 2, availabilityZone: 'z2' }),
-      ];
-      for (let n = 0; n < 400; n += 1) {
-        const id = routing.choose({ ...request, candidates })?.endpointId ?? '';
-        chosen.set(id, (chosen.get(id) ?? 0) + 1);
-      }
-      t.deepEqual([...chosen.keys()].sort(), ['e1', 'e2']);
-      t.true(Math.abs((chosen.get('e1') ?? 0) - 200) < 60);
-    },
-  );
+  test(title('spreads equal choices, and avoids endpoints in slow start and other zones'), (t) => {
+    const chosen = new Map<string, number>();
+    const candidates = [
+      candidate(1, { load: 2 }),
+      candidate(2, { load: 2 }),
+      candidate(3, { load: 2, slowStartShare: 0.1 }),
+      candidate(4, { load: 2, availabilityZone: 'z2' }),
+    ];
+    for (let n = 0; n < 400; n += 1) {
+      const id = routing.choose({ ...request, candidates })?.endpointId ?? '';
+      chosen.set(id, (chosen.get(id) ?? 0) + 1);
+    }
+    t.deepEqual([...chosen.keys()].sort(), ['e1', 'e2']);
+    t.true(Math.abs((chosen.get('e1') ?? 0) - 200) < 60);
+  });
 });
 
 describe('LoadView', () => {
-  test(
-    title('counts what is known once, ages what only the endpoint knows, forgets silent peers'),
-    (t) => {
-      const view = new LoadView();
-      view.change('e', 'online', 1);
-      view.peerCount('e', 'p', { online: 2, batch: 3 }, 0);
-      view.report('e', 10, 16, 0, 0);
-      t.is(view.online('e', 0), 7);
-      t.is(Math.round(view.online('e', 2000)), 5);
-      t.is(view.online('e', 4000, false), 1);
-      view.change('e', 'online', -1);
-      view.change('e', 'online', -1);
-      t.is(view.online('e', 4000, false), 0);
-    },
-  );
+  test(title('counts known requests once, decays unattributed load, expires peer counts'), (t) => {
+    const view = new LoadView();
+    view.change('e', 'online', 1);
+    view.peerCount('e', 'p', { online: 2, batch: 3 }, 0);
+    view.report('e', 10, 16, 0, 0);
+    t.is(view.online('e', 0), 7);
+    t.is(Math.round(view.online('e', 2000)), 5);
+    t.is(view.online('e', 4000, false), 1);
+    view.change('e', 'online', -1);
+    view.change('e', 'online', -1);
+    t.is(view.online('e', 4000, false), 0);
+  });
 });
 
 describe('PrefixIndex', () => {
-  test(
-    title('stays bounded, survives gaps in the events and forgets endpoints that are gone'),
-    (t) => {
-      const index = new PrefixIndex({ maxPrefixes: 100 });
-      for (let n = 0; n < 1000; n += 1) index.note('e1', [`p${n}`]);
-      t.is(index.size, 100);
-      index.note('e2', ['a', 'c']);
-      t.is(index.matches(['a', 'b', 'c', 'd']).get('e2'), 3);
-      index.forget('e2');
-      t.is(index.matches(['a', 'b', 'c']).size, 0);
-    },
-  );
+  test(title('limits its size, tolerates lost events and removes endpoints'), (t) => {
+    const index = new PrefixIndex({ maxPrefixes: 100 });
+    for (let n = 0; n < 1000; n += 1) index.note('e1', [`p${n}`]);
+    t.is(index.size, 100);
+    index.note('e2', ['a', 'c']);
+    t.is(index.matches(['a', 'b', 'c', 'd']).get('e2'), 3);
+    index.forget('e2');
+    t.is(index.matches(['a', 'b', 'c']).size, 0);
+  });
 });
 
 describe('sampleEntries', () => {
   test(
-    title('names all of a small fleet, a bounded part of a large one, and in time every entry'),
+    title('returns all of a small fleet, a limited sample of a large one, and eventually all'),
     (t) => {
       const random = seededRandom(5);
       const fleet = (count: number) =>
@@ -121,39 +112,38 @@
     load: fc.double({ min: 0, max: 1, noNaN: true }),
   });
 
-  test(
-    title('never hands out a draining entry, nor a stale one while a fresh one is left'),
-    (t) => {
-      fc.assert(
-        fc.property(fc.array(entry, { maxLength: 12 }), fc.nat(), (fields, seed) => {
-          const candidates = fields.map((one, n): AddressCandidate => ({
-            ...one,
-            entry: `e${n}`,
-            url: `u${n}`,
-          }));
-          const chosen = chooseAddresses({
-            candidates,
-            availabilityZone: 'z1',
-            random: seededRandom(seed),
-          });
-          const fresh = candidates.filter((one) => !one.draining && one.fresh);
-          t.true(chosen.every((one) => !one.draining));
-          t.true(fresh.length === 0 || chosen.every((one) => one.fresh));
-          t.is(
-            chosen.length,
-            Math.min(
-              3,
-              fresh.length > 0 ? fresh.length : candidates.filter((one) => !one.draining).length,
-            ),
-          );
-        }),
-        { seed: SEED, numRuns: 300 },
-      );
-    },
-  );
+  test(title('never returns a draining entry, nor a stale one while a fresh one is left'), (t) => {
+    fc.assert(
+      fc.property(fc.array(entry, { maxLength: 12 }), fc.nat(), (fields, seed) => {
+        const candidates = fields.map((field, n): AddressCandidate => ({
+          ...field,
+          entry: `e${n}`,
+          url: `u${n}`,
+        }));
+        const chosen = chooseAddresses({
+          candidates,
+          availabilityZone: 'z1',
+          random: seededRandom(seed),
+        });
+        const fresh = candidates.filter((option) => !option.draining && option.fresh);
+        t.true(chosen.every((option) => !option.draining));
+        t.true(fresh.length === 0 || chosen.every((option) => option.fresh));
+        t.is(
+          chosen.length,
+          Math.min(
+            3,
+            fresh.length > 0
+              ? fresh.length
+              : candidates.filter((option) => !option.draining).length,
+          ),
+        );
+      }),
+      { seed: SEED, numRuns: 300 },
+    );
+  });
 
   test(
-    title('a session gets the same entries from whichever entry it asks, and one of another zone'),
+    title('all entries return the same addresses for a session, one of them in another zone'),
     (t) => {
       const candidates = Array.from({ length: 9 }, (_, n): AddressCandidate => ({
         entry: `e${n}`,
@@ -163,16 +153,16 @@
         fresh: true,
         load: 0.1,
       }));
-      const ask = (seed: number): string[] =>
+      const entriesOf = (seed: number): string[] =>
         chooseAddresses({
           candidates,
           session: 's',
           availabilityZone: 'z1',
           random: seededRandom(seed),
-        }).map((one) => one.entry);
-      t.deepEqual(ask(1), ask(2));
-      const zones = ask(1).map(
-        (name) => candidates.find((one) => one.entry === name)?.availabilityZone,
+        }).map((option) => option.entry);
+      t.deepEqual(entriesOf(1), entriesOf(2));
+      const zones = entriesOf(1).map(
+        (name) => candidates.find((option) => option.entry === name)?.availabilityZone,
       );
       t.deepEqual([zones[0], zones[1], zones[2] === 'z1'], ['z1', 'z1', false]);
     },
--- a/packages/routing/src/routing.ts
+++ b/packages/routing/src/routing.ts
@@ -1,31 +1,32 @@
 /**
- * Choice of an endpoint for one request.
+ * Choice of an endpoint for a request by the expected time to its first token.
  */
 
 /** An endpoint that may take the request. */
 export interface Candidate {
   readonly endpointId: string;
   readonly availabilityZone: string;
-  /** Requests under way there, as estimated now. */
+  /** Estimated number of requests in progress there. */
   readonly load: number;
   readonly capacity: number;
-  /** Share of its full load that it may take, below one for a newcomer. */
+  /** Share of its full load that it may take; below one during the slow start of a new endpoint. */
   readonly slowStartShare: number;
 }
 
-/** What the choice depends on. */
+/** Input of {@link RoutingStrategy.choose}. */
 export interface RouteRequest {
   readonly candidates: readonly Candidate[];
-  /** Blocks of the prompt that each endpoint probably holds. */
+  /** Number of prompt blocks that each endpoint probably holds in its prefix cache. */
   readonly heldBlocks: ReadonlyMap<string, number>;
   readonly promptBlocks: number;
-  /** Endpoint of the session's last turn. */
+  /** Endpoint of the session's last request. */
   readonly sessionEndpointId?: string;
   readonly availabilityZone: string;
 }
 
-/** A way to choose. */
+/** Strategy that chooses an endpoint. */
 export interface RoutingStrategy {
+  /** Returns the chosen candidate; undefined without candidates. */
   choose(request: RouteRequest): Candidate | undefined;
 }
 
@@ -33,23 +34,23 @@
 export interface CostRoutingOptions {
   /** Time to prefill one block that is not cached. */
   readonly prefillBlockMs?: number;
-  /** Time that one running request adds to the first token of another. */
+  /** Time that a running request adds to the first token of another. */
   readonly loadMs?: number;
-  /** Time for a way to another availability zone and back. */
+  /** Round-trip time to another availability zone. */
   readonly crossZoneMs?: number;
-  /** Costs that differ by less are equal, and chance decides: entries do not herd. */
+  /** Costs that differ by less count as equal; a random choice then prevents herding of entries. */
   readonly equalWithinMs?: number;
   readonly random: () => number;
 }
 
-/** Load above its capacity makes an endpoint this much dearer. */
+/** Cost factor of the load above the capacity of an endpoint. */
 const OVERLOAD_FACTOR = 4;
-/** What a session's own endpoint saves beyond the blocks that are known to be cached. */
+/** Blocks that the session's last endpoint is assumed to hold beyond those known to be cached. */
 const SESSION_BONUS_BLOCKS = 0.5;
 
 /**
- * Chooses the endpoint with the least expected time to the first token: the prefill of what
- * is not cached there, the work that is under way there, and the way to it.
+ * Chooses the endpoint with the least expected time to the first token: the prefill of uncached
+ * blocks, the delay by requests in progress, and the network round trip.
  */
 export class CostRouting implements RoutingStrategy {
   private readonly prefillBlockMs: number;
@@ -82,11 +83,11 @@
     const { endpointId, load, capacity, slowStartShare } = candidate;
     const held = request.heldBlocks.get(endpointId) ?? 0;
     const bonus = endpointId === request.sessionEndpointId ? SESSION_BONUS_BLOCKS : 0;
-    const missing = Math.max(0, request.promptBlocks - held) - bonus;
+    const missingBlocks = Math.max(0, request.promptBlocks - held) - bonus;
     const effectiveCapacity = Math.max(1, capacity * slowStartShare);
-    const over = Math.max(0, load + 1 - effectiveCapacity);
+    const excessLoad = Math.max(0, load + 1 - effectiveCapacity);
     const zoneMs = candidate.availabilityZone === request.availabilityZone ? 0 : this.crossZoneMs;
-    const loadMs = this.loadMs * (load / slowStartShare + OVERLOAD_FACTOR * over);
-    return this.prefillBlockMs * missing + loadMs + zoneMs;
+    const loadMs = this.loadMs * (load / slowStartShare + OVERLOAD_FACTOR * excessLoad);
+    return this.prefillBlockMs * missingBlocks + loadMs + zoneMs;
   }
 }
--- a/packages/routing/src/slot-routing.test.ts
+++ b/packages/routing/src/slot-routing.test.ts
@@ -12,7 +12,7 @@
   const choose = (candidates: SlotCandidate[]): string | undefined =>
     routing.choose(candidates, 'z')?.endpointId;
 
-  test(title('a free slot goes before one that batch work holds, that before a queue'), (t) => {
+  test(title('prefers a free slot, then a slot of batch work, then a queue'), (t) => {
     const free = candidate('free', 3, 0);
     const yielding = candidate('yielding', 0, 4);
     const queue = candidate('queue', 4, 0);
@@ -21,11 +21,11 @@
     t.is(choose([queue]), 'queue');
   });
 
-  test(title('full queues take nothing'), (t) => {
+  test(title('chooses no endpoint whose queue is full'), (t) => {
     t.is(choose([candidate('full', 6, 0)]), undefined);
   });
 
-  test(title('requests stay in their zone until its endpoints are much fuller'), (t) => {
+  test(title('keeps requests in their zone unless its endpoints are much fuller'), (t) => {
     const near = candidate('near', 1, 0);
     const fuller = candidate('fuller', 2, 0);
     const far = { ...candidate('far', 1, 0), availabilityZone: 'y' };
@@ -35,12 +35,9 @@
     t.is(choose([fuller, idle]), 'idle');
   });
 
-  test(
-    title('a free slot in another zone goes before a queue or an item that has to stop'),
-    (t) => {
-      const far = { ...candidate('far', 3, 0), availabilityZone: 'y' };
-      t.is(choose([candidate('queue', 4, 0), far]), 'far');
-      t.is(choose([candidate('yielding', 1, 3), far]), 'far');
-    },
-  );
+  test(title('prefers a free slot in another zone to a queue or to stopping a batch item'), (t) => {
+    const far = { ...candidate('far', 3, 0), availabilityZone: 'y' };
+    t.is(choose([candidate('queue', 4, 0), far]), 'far');
+    t.is(choose([candidate('yielding', 1, 3), far]), 'far');
+  });
 });
--- a/packages/routing/src/slot-routing.ts
+++ b/packages/routing/src/slot-routing.ts
@@ -1,46 +1,48 @@
 /**
- * Choice of an endpoint that runs a fixed number of requests at once and knows no ranks: a free
- * slot first, then one that batch work will give up, then the shortest queue. Among free slots the
- * load, the availability zone and where a long shared prompt part is kept are weighed.
+ * Choice of an endpoint that runs a fixed number of requests at once without priorities: a free
+ * slot first, then a slot that batch work yields, then the shortest queue. Among endpoints with
+ * free slots, the cost combines the load, the availability zone and the placement of a long shared
+ * prefix.
  */
 
 import type { ChoiceTerms } from '@shedline/types';
-import { promptCosts } from './prompt-homes.js';
+import { promptCosts } from './prompt-placement.js';
 
 /** An endpoint that may take the request. */
 export interface SlotCandidate {
   readonly endpointId: string;
   readonly availabilityZone: string;
-  /** Online requests under way there, as estimated now. */
+  /** Estimated number of online requests in progress there. */
   readonly online: number;
-  /** Batch requests under way there; they yield. */
+  /** Batch requests in progress there; they yield to online requests. */
   readonly batch: number;
-  /** Requests that run at once. */
+  /** Number of requests that run at once. */
   readonly slots: number;
 }
 
 /** Options of {@link SlotRouting}. */
 export interface SlotRoutingOptions {
   readonly random: () => number;
-  /** Online requests beyond its slots that an endpoint may be given. */
+  /** Maximum number of online requests queued at an endpoint beyond its slots. */
   readonly maxQueued?: number;
-  /** What another availability zone costs, as a share of the slots of an endpoint. */
+  /** Cost of another availability zone, as a share of the slots of an endpoint. */
   readonly crossZoneShare?: number;
 }
 
-/** A queue of two drains in a fraction of the usual target for the first event. */
+/** Two queued requests start within a fraction of the usual target for the first event. */
 const DEFAULT_MAX_QUEUED = 2;
 /**
- * An endpoint is as fast with most of its slots taken as with few, and bytes between zones are
- * paid for: requests leave their zone only where its endpoints are fuller by three slots of eight.
+ * An endpoint is as fast with most of its slots occupied as with few, and traffic between zones is
+ * charged: requests leave their zone only if its endpoints have at least three of eight slots more
+ * occupied.
  */
 const DEFAULT_CROSS_ZONE_SHARE = 0.4;
-/** Added where batch work has to yield first; more than any share of used slots. */
+/** Cost added if batch work has to yield first; more than any share of occupied slots. */
 const YIELD_COST = 10;
-/** Added where the request has to queue. */
+/** Cost added if the request has to queue. */
 const QUEUE_COST = 20;
 
-/** Chooses by slots. */
+/** Chooses endpoints by their occupied slots. */
 export class SlotRouting {
   private readonly random: () => number;
   private readonly maxQueued: number;
@@ -52,7 +54,7 @@
     this.crossZoneShare = options.crossZoneShare ?? DEFAULT_CROSS_ZONE_SHARE;
   }
 
-  /** The best endpoint; undefined where every queue is full, or no slot is free and it may not queue. */
+  /** Returns the best endpoint; undefined if all are full, with their queues if `mayQueue` is set. */
   choose(
     candidates: readonly SlotCandidate[],
     availabilityZone: string,
@@ -60,13 +62,13 @@
   ): SlotCandidate | undefined {
     const maxQueued = mayQueue ? this.maxQueued : 0;
     const endpointIds = candidates.map(({ endpointId }) => endpointId);
-    const reading = promptCosts(prompt, endpointIds);
+    const prefillCosts = promptCosts(prompt, endpointIds);
     let best: SlotCandidate[] = [];
     let bestCost = Infinity;
     for (const candidate of candidates) {
       if (candidate.online >= candidate.slots + maxQueued) continue;
-      const zone = candidate.availabilityZone === availabilityZone ? 0 : this.crossZoneShare;
-      const cost = costOf(candidate) + zone + reading.of(candidate.endpointId);
+      const zoneCost = candidate.availabilityZone === availabilityZone ? 0 : this.crossZoneShare;
+      const cost = costOf(candidate) + zoneCost + prefillCosts.of(candidate.endpointId);
       if (cost < bestCost) best = [];
       if (cost <= bestCost) best.push(candidate);
       bestCost = Math.min(bestCost, cost);
@@ -75,6 +77,7 @@
   }
 }
 
+/** Returns the cost by occupied slots and queue length. */
 function costOf({ online, batch, slots }: SlotCandidate): number {
   const size = Math.max(1, slots);
   if (online + batch < size) return (online + batch) / size;
