--- a/packages/admission/src/wait-estimate.ts
+++ b/packages/admission/src/wait-estimate.ts
@@ -131,9 +131,9 @@
   /**
    * Returns the time until a slot opens for the request at a queue position of this entry, counted
    * from 0: `slots` requests end in each run time, and for each request before it here every other
-   * entry sends one as well. The first position does not wait for the other entries: otherwise, with
-   * 13 entries on 16 slots and runs of half a second, a route whose callers wait for one second
-   * would be refused completely.
+   * entry sends one as well. The first position does not wait for the other entries: otherwise,
+   * with 13 entries on 16 slots and runs of half a second, all requests of a route whose callers
+   * wait for one second would be refused.
    */
   waitMs(position: number, { slots, sharers }: WaitingCapacity): number {
     if (slots === 0) return Infinity;
--- a/packages/batch/src/allocation.ts
+++ b/packages/batch/src/allocation.ts
@@ -1,17 +1,17 @@
 /**
- * How an entry divides its batch capacity among the services that have work waiting.
+ * Division of an entry's free batch slots among the services with pending items.
  */
 
-/** What waits for a service in one job group. */
+/** Pending work of a service in one job group. */
 export interface WaitingWork {
   readonly group: number;
   readonly row: string;
   readonly weight: number;
   readonly models: readonly string[];
   readonly pendingItems: number;
-  /** Items a second that the service needs to end all its jobs before they are due. */
+  /** Items a second that the service needs to finish all its jobs by their due times. */
   readonly neededItemsPerSecond: number;
-  /** Items a second that the service gets at present. */
+  /** Items a second that the service completes at present. */
   readonly currentItemsPerSecond: number;
 }
 
@@ -21,28 +21,28 @@
   readonly slots: number;
 }
 
-/** Items to ask a group for. */
+/** Number of items to request from a job group for a service. */
 export interface GrantRequest {
   readonly group: number;
   readonly row: string;
   readonly maxItems: number;
 }
 
-/** Largest factor by which nearness of the due time raises a claim. */
+/** Largest factor by which urgency raises the weight of a service. */
 const MAX_URGENCY = 8;
-/** Rate taken for a service that has had no item end yet. */
-const MIN_RATE = 0.1;
+/** Minimum assumed rate, for services without completed items. */
+const MIN_ITEMS_PER_SECOND = 0.1;
 
-/** Claim of a service: its weight, raised as it falls behind what its due times need. */
-export function claimOf(work: WaitingWork): number {
-  const current = Math.max(MIN_RATE, work.currentItemsPerSecond);
+/** Returns the weight of a service, raised if its rate is too low to meet its due times. */
+export function effectiveWeightOf(work: WaitingWork): number {
+  const current = Math.max(MIN_ITEMS_PER_SECOND, work.currentItemsPerSecond);
   const urgency = Math.min(MAX_URGENCY, Math.max(1, work.neededItemsPerSecond / current));
   return work.weight * urgency;
 }
 
 /**
- * Divides the free slots of each model by claim. The remainders of the division go by
- * chance, so that over time even a claim smaller than one slot gets its share.
+ * Divides the free slots of each model by effective weight. Fractional slots are assigned at
+ * random, so that over time even a service with less than one slot receives its share.
  */
 export function allocateSlots(
   slots: readonly FreeSlots[],
@@ -50,17 +50,17 @@
   random: () => number,
 ): GrantRequest[] {
   const requests = new Map<string, GrantRequest>();
-  const left = new Map(waiting.map((work) => [work, work.pendingItems]));
+  const remaining = new Map(waiting.map((work) => [work, work.pendingItems]));
   for (const { model, slots: count } of slots) {
     let free = count;
     while (free > 0) {
       const eligible = waiting.filter(
-        (work) => work.models.includes(model) && (left.get(work) ?? 0) > 0,
+        (work) => work.models.includes(model) && (remaining.get(work) ?? 0) > 0,
       );
       if (eligible.length === 0) break;
-      const given = divide(free, eligible, left, random);
-      for (const [work, items] of given) {
-        left.set(work, (left.get(work) ?? 0) - items);
+      const assigned = divide(free, eligible, remaining, random);
+      for (const [work, items] of assigned) {
+        remaining.set(work, (remaining.get(work) ?? 0) - items);
         free -= items;
         addRequest(requests, work, items);
       }
@@ -72,42 +72,44 @@
 function divide(
   free: number,
   eligible: readonly WaitingWork[],
-  left: ReadonlyMap<WaitingWork, number>,
+  remaining: ReadonlyMap<WaitingWork, number>,
   random: () => number,
 ): Map<WaitingWork, number> {
-  const total = eligible.reduce((sum, work) => sum + claimOf(work), 0);
-  const given = new Map<WaitingWork, number>();
+  const total = eligible.reduce((sum, work) => sum + effectiveWeightOf(work), 0);
+  const assigned = new Map<WaitingWork, number>();
   const remainders: Remainder[] = [];
-  let rest = free;
+  let unassigned = free;
   for (const work of eligible) {
-    const share = (free * claimOf(work)) / total;
-    const whole = Math.min(Math.floor(share), left.get(work) ?? 0);
-    given.set(work, whole);
-    rest -= whole;
-    if (whole < (left.get(work) ?? 0)) remainders.push({ work, part: share - Math.floor(share) });
+    const share = (free * effectiveWeightOf(work)) / total;
+    const wholeSlots = Math.min(Math.floor(share), remaining.get(work) ?? 0);
+    assigned.set(work, wholeSlots);
+    unassigned -= wholeSlots;
+    if (wholeSlots < (remaining.get(work) ?? 0))
+      remainders.push({ work, fraction: share - Math.floor(share) });
   }
-  for (; rest > 0 && remainders.length > 0; rest -= 1) {
-    const lucky = drawRemainder(remainders, random);
-    given.set(lucky, (given.get(lucky) ?? 0) + 1);
+  for (; unassigned > 0 && remainders.length > 0; unassigned -= 1) {
+    const drawn = drawRemainder(remainders, random);
+    assigned.set(drawn, (assigned.get(drawn) ?? 0) + 1);
   }
-  return given;
+  return assigned;
 }
 
+/** Fractional slot of a service. */
 interface Remainder {
   readonly work: WaitingWork;
-  /** Part of a slot that the division left to this work. */
-  readonly part: number;
+  /** Fraction of a slot, from 0 to 1. */
+  readonly fraction: number;
 }
 
-/** Takes one work out, the likelier the larger its remainder. */
+/** Draws and removes a remainder with a probability proportional to its fraction. */
 function drawRemainder(remainders: Remainder[], random: () => number): WaitingWork {
-  let point = random() * remainders.reduce((sum, { part }) => sum + part, 0);
-  const found = remainders.findIndex(({ part }) => {
-    point -= part;
-    return point < 0;
+  let sample = random() * remainders.reduce((sum, { fraction }) => sum + fraction, 0);
+  const index = remainders.findIndex(({ fraction }) => {
+    sample -= fraction;
+    return sample < 0;
   });
-  const [drawn] = remainders.splice(found === -1 ? 0 : found, 1);
-  if (drawn === undefined) throw new Error('drawRemainder: nothing to draw from');
+  const [drawn] = remainders.splice(index === -1 ? 0 : index, 1);
+  if (drawn === undefined) throw new Error('drawRemainder: no remainder is left');
   return drawn.work;
 }
 
--- a/packages/batch/src/headroom.ts
+++ b/packages/batch/src/headroom.ts
@@ -1,56 +1,57 @@
 /**
- * How many batch requests an endpoint may run beside its online work.
+ * Number of batch requests that an endpoint may run beside its online requests.
  */
 
 /** Options of {@link BatchHeadroom}. */
 export interface BatchHeadroomOptions {
-  /** 0 guards online latency most, 1 favours batch throughput most. */
+  /** From 0, which protects online latency most, to 1, which favours batch throughput most. */
   readonly dial: number;
-  /** Time without online work after which batch takes everything again. */
-  readonly calmMs?: number;
-  /** Time between two steps of growth beside online work. */
-  readonly growthMs?: number;
+  /** Time without online requests after which batch work may use the whole ceiling. */
+  readonly onlineIdleMs?: number;
+  /** Minimum time between two increases of the allowance. */
+  readonly growthIntervalMs?: number;
 }
 
-/** What the allowance depends on. */
+/** Input of {@link BatchHeadroom.allowance}. */
 export interface HeadroomInput {
-  /** Online requests under way at the endpoint. */
+  /** Online requests in progress at the endpoint. */
   readonly online: number;
-  /** Requests that the endpoint runs well at once. */
+  /** Requests that the endpoint can run at once within its latency targets. */
   readonly capacity: number;
-  /** Least and largest share of the capacity for batch, from the table. */
+  /** Minimum share of the capacity for batch work, from the table. */
   readonly floorShare: number;
+  /** Maximum share of the capacity for batch work, from the table. */
   readonly ceilingShare: number;
 }
 
-const DEFAULT_CALM_MS = 150;
-const DEFAULT_GROWTH_MS = 50;
+const DEFAULT_ONLINE_IDLE_MS = 150;
+const DEFAULT_GROWTH_INTERVAL_MS = 50;
 
-/** Batch requests allowed on one endpoint: down at once, up in steps. */
+/** Batch allowance of one endpoint: it decreases at once and increases in steps. */
 export class BatchHeadroom {
   private readonly dial: number;
-  private readonly calmMs: number;
-  private readonly growthMs: number;
+  private readonly onlineIdleMs: number;
+  private readonly growthIntervalMs: number;
   private allowed = 0;
   private lastOnlineMs = -Infinity;
   private lastGrowthMs = -Infinity;
 
   constructor(options: BatchHeadroomOptions) {
     this.dial = options.dial;
-    this.calmMs = options.calmMs ?? DEFAULT_CALM_MS;
-    this.growthMs = options.growthMs ?? DEFAULT_GROWTH_MS;
+    this.onlineIdleMs = options.onlineIdleMs ?? DEFAULT_ONLINE_IDLE_MS;
+    this.growthIntervalMs = options.growthIntervalMs ?? DEFAULT_GROWTH_INTERVAL_MS;
   }
 
-  /** Batch requests allowed now. */
+  /** Returns the number of batch requests allowed now. */
   allowance(input: HeadroomInput, nowMs: number): number {
     const target = this.target(input, nowMs);
     if (target <= this.allowed) {
       this.allowed = target;
       return this.allowed;
     }
-    if (nowMs - this.lastGrowthMs < this.growthMs) return this.allowed;
+    if (nowMs - this.lastGrowthMs < this.growthIntervalMs) return this.allowed;
     this.lastGrowthMs = nowMs;
-    // Doubling fills an idle endpoint within a few steps, well inside a second.
+    // Doubling fills an idle endpoint within a few steps, well below one second.
     this.allowed = Math.min(target, Math.max(4, this.allowed * 2));
     return this.allowed;
   }
@@ -60,10 +61,12 @@
     if (online > 0) this.lastOnlineMs = nowMs;
     const floor = Math.floor(floorShare * capacity);
     const ceiling = Math.floor(ceilingShare * capacity);
-    const calm = nowMs - this.lastOnlineMs >= this.calmMs;
-    if (calm) return ceiling;
+    const isOnlineIdle = nowMs - this.lastOnlineMs >= this.onlineIdleMs;
+    if (isOnlineIdle) return ceiling;
     const spare = Math.max(0, capacity - online);
-    const beside = Math.floor(this.dial * ceilingShare * spare * (spare / Math.max(1, capacity)));
-    return Math.max(floor, Math.min(ceiling, beside));
+    const besideOnline = Math.floor(
+      this.dial * ceilingShare * spare * (spare / Math.max(1, capacity)),
+    );
+    return Math.max(floor, Math.min(ceiling, besideOnline));
   }
 }
--- a/packages/batch/src/index.ts
+++ b/packages/batch/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * Batch decisions of an entry.
+ * Batch decisions of an entry: allocation of slots, ownership of endpoints and yielding.
  */
 export * from './allocation.js';
 export * from './headroom.js';
--- a/packages/batch/src/ownership.ts
+++ b/packages/batch/src/ownership.ts
@@ -1,10 +1,10 @@
 /**
- * Which entry runs batch work on an endpoint: one owner each, by rendezvous hash over the
- * live entries of its cell.
+ * Selects the entry that runs batch work on an endpoint: each endpoint has one owner, chosen by
+ * rendezvous hashing over the live entries of its cell.
  */
 import { rendezvousOrder } from '@shedline/types';
 
-/** Time that a new owner waits, so that the old one has stopped before. */
+/** Time that a new owner waits, so that the previous owner has stopped before. */
 export const DEFAULT_TAKEOVER_WAIT_MS = 3000;
 
 /** Options of {@link BatchOwnership}. */
@@ -13,26 +13,26 @@
   readonly takeoverWaitMs?: number;
 }
 
-/** The owner that a list of candidates gave. */
-interface Choice {
+/** Owner computed for a list of candidates. */
+interface OwnerChoice {
   readonly candidates: readonly string[];
   readonly owner: string;
 }
 
-/** The endpoints that this entry owns for batch work. */
+/** Tracks the owners of endpoints, and the endpoints that this entry owns for batch work. */
 export class BatchOwnership {
   private readonly self: string;
   private readonly takeoverWaitMs: number;
   private readonly owners = new Map<string, string>();
   private readonly ownedSinceMs = new Map<string, number>();
-  private readonly chosen = new Map<string, Choice>();
+  private readonly ownerChoices = new Map<string, OwnerChoice>();
 
   constructor(options: BatchOwnershipOptions) {
     this.self = options.self;
     this.takeoverWaitMs = options.takeoverWaitMs ?? DEFAULT_TAKEOVER_WAIT_MS;
   }
 
-  /** Takes the present endpoints, and for each the live entries that may own it. */
+  /** Sets the present endpoints, and for each the live entries that may own it. */
   update(
     endpointIds: readonly string[],
     candidatesOf: (endpointId: string) => readonly string[],
@@ -48,43 +48,46 @@
     }
   }
 
-  /** The owner of an endpoint. */
+  /** Returns the owner of an endpoint; undefined if the endpoint is unknown. */
   ownerOf(endpointId: string): string | undefined {
     return this.owners.get(endpointId);
   }
 
-  /** Endpoints on which this entry may run batch work now. */
+  /** Returns the endpoints on which this entry may run batch work now. */
   owned(nowMs: number): string[] {
     return [...this.ownedSinceMs]
       .filter(([, sinceMs]) => nowMs >= sinceMs)
       .map(([endpointId]) => endpointId);
   }
 
-  /** Hashes again only when the candidates are others: the fleet is divided anew whenever anybody comes or goes. */
+  /**
+   * Returns the owner among the candidates. Hashes are computed only if the candidates changed,
+   * since this is called at every change of the fleet.
+   */
   private ownerAmong(endpointId: string, candidates: readonly string[]): string {
-    const last = this.chosen.get(endpointId);
+    const last = this.ownerChoices.get(endpointId);
     if (last !== undefined && isSameList(last.candidates, candidates)) return last.owner;
     const owner = rendezvousOrder(`batch|${endpointId}`, candidates, 1)[0] ?? this.self;
-    this.chosen.set(endpointId, { candidates, owner });
+    this.ownerChoices.set(endpointId, { candidates, owner });
     return owner;
   }
 
   private setOwner(endpointId: string, owner: string, nowMs: number): void {
-    const before = this.owners.get(endpointId);
-    if (before === owner) return;
+    const previous = this.owners.get(endpointId);
+    if (previous === owner) return;
     this.owners.set(endpointId, owner);
     if (owner !== this.self) {
       this.ownedSinceMs.delete(endpointId);
       return;
     }
-    // An endpoint never seen before has no earlier owner to wait for.
-    const waitMs = before === undefined ? 0 : this.takeoverWaitMs;
+    // A new endpoint has no previous owner to wait for.
+    const waitMs = previous === undefined ? 0 : this.takeoverWaitMs;
     this.ownedSinceMs.set(endpointId, nowMs + waitMs);
   }
 
   private forget(endpointId: string): void {
     this.owners.delete(endpointId);
-    this.chosen.delete(endpointId);
+    this.ownerChoices.delete(endpointId);
     this.ownedSinceMs.delete(endpointId);
   }
 }
--- a/packages/batch/src/recent-peak.ts
+++ b/packages/batch/src/recent-peak.ts
@@ -1,6 +1,6 @@
 /**
- * The highest value of the last moments: batch work that starts in a slot which is free for an
- * instant only would be stopped again at once.
+ * Maximum over a short sliding window. Applied to the online load, it prevents that batch work
+ * starts in a slot that is free only briefly, since that work would be stopped again at once.
  */
 
 interface Sample {
@@ -16,14 +16,14 @@
 /** A sliding maximum. */
 export class RecentPeak {
   private readonly windowMs: number;
-  /** Falling values with rising times: the first is the maximum. */
+  /** Monotonic queue: values decrease as times increase, and the first is the maximum. */
   private samples: Sample[] = [];
 
   constructor(options: RecentPeakOptions) {
     this.windowMs = options.windowMs;
   }
 
-  /** Notes a value; gives the highest of the window. */
+  /** Records a value; returns the highest value of the window. */
   note(value: number, nowMs: number): number {
     while ((this.samples.at(-1)?.value ?? Infinity) <= value) this.samples.pop();
     this.samples.push({ value, atMs: nowMs });
--- a/packages/batch/src/yielding.ts
+++ b/packages/batch/src/yielding.ts
@@ -1,17 +1,18 @@
 /**
- * Which batch streams stop when an endpoint has to yield.
+ * Choice of the batch streams that are stopped to free slots for online requests.
  */
 
-/** A batch stream that runs. */
+/** A running batch stream. */
 export interface RunningStream {
   readonly streamId: string;
   readonly startedAtMs: number;
+  /** Tokens generated so far. */
   readonly tokens: number;
-  /** Items that may not be repeated are never stopped. */
+  /** False for items that must not be repeated; these are never stopped. */
   readonly stoppable: boolean;
 }
 
-/** The streams to stop so that at most `allowed` run: those with the least to lose. */
+/** Returns the streams to stop so that at most `allowed` run, those with least progress first. */
 export function chooseStreamsToStop(
   streams: readonly RunningStream[],
   allowed: number,
--- a/packages/routing/src/address-choice.ts
+++ b/packages/routing/src/address-choice.ts
@@ -57,7 +57,7 @@
   return includeAnotherZone(scored.map(({ candidate }) => candidate));
 }
 
-/** Moves an entry of another zone into the returned ones, so that the loss of a zone is tolerated. */
+/** Ensures that the returned entries include another zone, to tolerate the loss of a zone. */
 function includeAnotherZone(ordered: AddressCandidate[]): AddressCandidate[] {
   const first = ordered[0];
   if (first === undefined || ordered.length <= DEFAULT_MAX_ADDRESSES) return ordered;
--- a/packages/routing/src/slot-routing.ts
+++ b/packages/routing/src/slot-routing.ts
@@ -54,7 +54,7 @@
     this.crossZoneShare = options.crossZoneShare ?? DEFAULT_CROSS_ZONE_SHARE;
   }
 
-  /** Returns the best endpoint; undefined if all are full, with their queues if `mayQueue` is set. */
+  /** Returns the best endpoint; undefined if all are full, with their queues if `mayQueue`. */
   choose(
     candidates: readonly SlotCandidate[],
     availabilityZone: string,
