--- a/packages/admission/src/fair-queue-order.ts
+++ b/packages/admission/src/fair-queue-order.ts
@@ -29,13 +29,14 @@
 /** Exponentially decaying counts of requests. */
 interface ServiceCounts {
   arrived: number;
-  served: number;
+  assigned: number;
 }
 
 /** Orders the waiting requests of one entry by what was served recently. */
 export class FairQueueOrder {
   private readonly byRank = new Map<number, ServiceCounts>();
-  private readonly total: ServiceCounts = { arrived: 0, served: 0 };
+  /** Counts over all ranks. */
+  private readonly all: ServiceCounts = { arrived: 0, assigned: 0 };
   /** Decayed count of served requests by workspace. */
   private readonly servedByWorkspace = new Map<string, number>();
   private countedAtMs = 0;
@@ -44,14 +45,14 @@
   asked(rank: number, nowMs: number): void {
     this.decay(nowMs);
     this.countsOf(rank).arrived += 1;
-    this.total.arrived += 1;
+    this.all.arrived += 1;
   }
 
   /** Records that a request was assigned to an endpoint. */
   served({ rank, workspace = '' }: QueuedRequest, nowMs: number): void {
     this.decay(nowMs);
-    this.countsOf(rank).served += 1;
-    this.total.served += 1;
+    this.countsOf(rank).assigned += 1;
+    this.all.assigned += 1;
     this.servedByWorkspace.set(workspace, (this.servedByWorkspace.get(workspace) ?? 0) + 1);
   }
 
@@ -93,17 +94,17 @@
   }
 
   private isStarved(rank: number): boolean {
-    const { arrived, served } = this.countsOf(rank);
+    const { arrived, assigned } = this.countsOf(rank);
     if (arrived < MIN_RANK_REQUESTS) return false;
-    return served / arrived < (STARVED_SHARE * this.total.served) / Math.max(1, this.total.arrived);
+    return assigned / arrived < (STARVED_SHARE * this.all.assigned) / Math.max(1, this.all.arrived);
   }
 
   private decay(nowMs: number): void {
     const factor = Math.exp(-Math.max(0, nowMs - this.countedAtMs) / DECAY_TIME_MS);
     this.countedAtMs = nowMs;
-    for (const count of [this.total, ...this.byRank.values()]) {
+    for (const count of [this.all, ...this.byRank.values()]) {
       count.arrived *= factor;
-      count.served *= factor;
+      count.assigned *= factor;
     }
     for (const [workspace, served] of this.servedByWorkspace) {
       if (served < MIN_SERVED_COUNT) this.servedByWorkspace.delete(workspace);
@@ -114,7 +115,7 @@
   private countsOf(rank: number): ServiceCounts {
     const known = this.byRank.get(rank);
     if (known !== undefined) return known;
-    const fresh = { arrived: 0, served: 0 };
+    const fresh = { arrived: 0, assigned: 0 };
     this.byRank.set(rank, fresh);
     return fresh;
   }
