--- a/packages/admission/src/admission.test.ts
+++ b/packages/admission/src/admission.test.ts
@@ -23,7 +23,7 @@
     );
   });
 
-  test(title('a non-idempotent request is sent completely at most once'), (t) => {
+  test(title('a non-idempotent request can run at most once'), (t) => {
     fc.assert(
       fc.property(fc.array(progress, { minLength: 1, maxLength: 8 }), (outcomes) => {
         let possiblyRun = 0;
--- a/packages/admission/src/fair-queue-order.ts
+++ b/packages/admission/src/fair-queue-order.ts
@@ -115,9 +115,9 @@
   private countsOf(rank: number): ServiceCounts {
     const known = this.byRank.get(rank);
     if (known !== undefined) return known;
-    const fresh = { arrived: 0, assigned: 0 };
-    this.byRank.set(rank, fresh);
-    return fresh;
+    const created = { arrived: 0, assigned: 0 };
+    this.byRank.set(rank, created);
+    return created;
   }
 }
 
--- a/packages/admission/src/overload-gate.ts
+++ b/packages/admission/src/overload-gate.ts
@@ -9,7 +9,7 @@
   readonly weight: number;
   /** Whether the request belongs to a session that is already open. */
   readonly isOpenSession: boolean;
-  /** Online requests under way at the endpoints of the model. */
+  /** Online requests in progress at the endpoints of the model. */
   readonly load: number;
   /** Requests that these endpoints can run at once within their latency targets. */
   readonly capacity: number;
--- a/packages/admission/src/quota.ts
+++ b/packages/admission/src/quota.ts
@@ -158,9 +158,9 @@
     const known = this.rows.get(request.row);
     if (known === undefined) {
       const requesters = new Map<string, Requester>();
-      const fresh = { limit: request.limit, revision: request.revision, requesters };
-      this.rows.set(request.row, fresh);
-      return fresh;
+      const created = { limit: request.limit, revision: request.revision, requesters };
+      this.rows.set(request.row, created);
+      return created;
     }
     if (request.revision > known.revision) {
       known.limit = request.limit;
--- a/packages/admission/src/row-limits.ts
+++ b/packages/admission/src/row-limits.ts
@@ -131,7 +131,7 @@
       known.usedAtMs = nowMs;
       return known;
     }
-    const fresh: RowUsage = {
+    const created: RowUsage = {
       requests: new RateBucket(),
       tokens: new RateBucket(),
       concurrent: 0,
@@ -143,8 +143,8 @@
       recentRefusals: 0,
       usedAtMs: nowMs,
     };
-    this.rows.set(row, fresh);
-    return fresh;
+    this.rows.set(row, created);
+    return created;
   }
 }
 
--- a/packages/batch/src/ownership.ts
+++ b/packages/batch/src/ownership.ts
@@ -92,7 +92,7 @@
   }
 }
 
-function isSameList(one: readonly string[], other: readonly string[]): boolean {
-  if (one === other) return true;
-  return one.length === other.length && one.every((name, index) => name === other[index]);
+function isSameList(a: readonly string[], b: readonly string[]): boolean {
+  if (a === b) return true;
+  return a.length === b.length && a.every((name, index) => name === b[index]);
 }
--- a/packages/quota/src/request-ledger.ts
+++ b/packages/quota/src/request-ledger.ts
@@ -140,7 +140,7 @@
     const ageMs = nowMs - this.startedAtMs;
     const isNewProcess = ageMs < this.tolerance.windowMs;
     const gained = isNewProcess ? Math.min(terms.burst, (ageMs * terms.ratePerS) / 1000) : 0;
-    const fresh: Account = {
+    const created: Account = {
       terms,
       level: Math.max(1, extraBurst(terms, this.tolerance) + gained),
       // Entries that started together with this process cannot report earlier requests, so the
@@ -153,8 +153,8 @@
       countingSinceMs: nowMs,
       reservedUntilMs: nowMs,
     };
-    this.accounts.set(workspace, fresh);
-    return fresh;
+    this.accounts.set(workspace, created);
+    return created;
   }
 
   /** Adds earlier requests of an entry; slices are aligned to the time when counting began here. */
--- a/packages/quota/src/request-share.ts
+++ b/packages/quota/src/request-share.ts
@@ -163,7 +163,7 @@
       known.usedAtMs = nowMs;
       return known;
     }
-    const fresh: LocalCount = {
+    const created: LocalCount = {
       terms,
       unreported: 0,
       lastCounter: undefined,
@@ -171,8 +171,8 @@
       usedBeforeAlone: undefined,
       usedAtMs: nowMs,
     };
-    this.counts.set(workspace, fresh);
-    return fresh;
+    this.counts.set(workspace, created);
+    return created;
   }
 
   private usedInWindow({ bySlice }: LocalCount, nowMs: number): number {
--- a/packages/routing/src/load-view.ts
+++ b/packages/routing/src/load-view.ts
@@ -104,7 +104,7 @@
   private stateOf(endpointId: string): EndpointLoadState {
     const known = this.states.get(endpointId);
     if (known !== undefined) return known;
-    const fresh: EndpointLoadState = {
+    const created: EndpointLoadState = {
       ownOnline: 0,
       ownBatch: 0,
       peers: new Map(),
@@ -112,8 +112,8 @@
       reportedAtMs: -Infinity,
       capacity: 1,
     };
-    this.states.set(endpointId, fresh);
-    return fresh;
+    this.states.set(endpointId, created);
+    return created;
   }
 
   private currentPeerCounts(
