--- a/packages/forwarding/src/content-guard.ts
+++ b/packages/forwarding/src/content-guard.ts
@@ -1,45 +1,50 @@
 /**
- * What the forwarder asks before it sends a content, and tells after an endpoint ended or lived on.
+ * Interface through which the forwarder asks whether request content may be sent, and reports
+ * whether the endpoint completed it or its connection broke.
  */
 
-/** Whether a content may be sent. */
+/** Decision whether request content may be sent. */
 export type Admission =
   | { readonly isAdmitted: true }
-  /** It ends its endpoints; when to ask again. */
+  /** The content is quarantined because it crashes endpoints; `retryAfterMs`: when to ask again. */
   | { readonly isAdmitted: false; readonly retryAfterMs: number };
 
-/** A send whose connection broke before its answer was whole. */
+/** A send whose connection broke before its response was complete. */
 export interface BrokenSend {
-  /** Id of the run of the endpoint. */
+  /** Id of the endpoint's incarnation. */
   readonly endpointId: string;
   /** `host:port`. */
   readonly address: string;
   readonly requestId: string;
   readonly contentKey: string;
-  /** Ends of endpoints that the content was blamed for when it was sent. */
+  /** Number of endpoint crashes attributed to the content when it was sent. */
   readonly knownCrashes: number;
-  /** Whether the endpoint had answered anything of it. */
+  /** Whether any part of the response had been received. */
   readonly hasBegun: boolean;
 }
 
-/** Keeps contents that end their endpoints away from endpoints. */
+/** Keeps request content that crashes endpoints from being sent to further endpoints. */
 export interface ContentGuard {
-  /** Whether no content is blamed for anything: none needs to be looked at. */
+  /** Whether no content is suspected, so that no request has to be checked. */
   readonly isIdle: boolean;
-  /** Asked once a request, before it waits for an endpoint. */
+  /**
+   * Decides whether content may be sent; called once per request, before it waits for an endpoint.
+   */
   admit(contentKey: string): Promise<Admission>;
-  /** Time for which a content is held back from now on; 0 where it may be sent. */
+  /** Returns the remaining quarantine time of a content; 0 if it may be sent. */
   heldMs(contentKey: string): number;
-  /** Ends of endpoints that a content is blamed for. */
+  /** Returns the number of endpoint crashes attributed to a content. */
   crashesOf(contentKey: string): number;
-  /** A send broke off; its endpoint may have ended under it. */
+  /**
+   * Notes that the connection of a send broke; the endpoint may have crashed while executing it.
+   */
   brokeOff(send: BrokenSend): void;
-  /** An endpoint has run the content and lives. */
+  /** Notes that an endpoint executed the content without crashing. */
   survived(contentKey: string): void;
 }
 
-/** Blames nothing for anything. */
-export const NO_GUARD: ContentGuard = {
+/** A guard that admits all content. */
+export const NOOP_GUARD: ContentGuard = {
   isIdle: true,
   admit: () => Promise.resolve({ isAdmitted: true }),
   heldMs: () => 0,
--- a/packages/forwarding/src/endpoint-connections.ts
+++ b/packages/forwarding/src/endpoint-connections.ts
@@ -1,77 +1,82 @@
 /**
- * Connections to endpoints. An open connection may have gone silent without a reset, and nothing
- * shows it before a request is lost on it: so a request that may not be sent again gets a connection
- * of its own, and the others take a kept one only where bytes came over it just before.
+ * Connections to endpoints. An open connection may have become unresponsive without a reset, which
+ * is detected only when a request on it is lost. A request that may not be sent again therefore
+ * gets a new connection, and other requests reuse a connection only if it received bytes a short
+ * time before.
  */
 import { Pool } from 'undici';
 import type { Dispatcher } from 'undici';
 import { connectorWithin } from '@shedline/http-connector';
 
 /**
- * Longest time that a connection may take to open; an endpoint without power never answers, and
- * another one may still answer within the usual target of 300 ms. Zones are 2 ms apart there and
- * back, and a lost packet is sent again only after a second.
+ * Maximum time to open a connection. An endpoint without power never accepts one; with this limit
+ * another endpoint can still respond within the usual target of 300 ms. The round trip between
+ * zones takes 2 ms, and a lost packet is retransmitted only after a second.
  */
 export const CONNECT_TIMEOUT_MS = 180;
 /**
- * Rest after which a connection is not used again. With 4 s, and no connections of their own, 8 of
- * 16 requests were lost after 8 kept connections had gone silent, 0 now; in a fleet of 4 entries and 5
- * endpoints callers were served 0.25 to 0.40 of the requests of the 3 s after, counted over 4 seeds.
- * Opening one takes a round trip, 0.2 to 2 ms, of requests that last 20 ms and more.
+ * Idle time after which a connection is not reused. With 4 s and without single-use connections, 8
+ * of 16 requests were lost after 8 idle connections had become unresponsive; with this value none
+ * are. In a fleet of 4 entries and 5 endpoints, 0.25 to 0.40 of the requests of the following 3 s
+ * succeeded with 4 s (over 4 seeds). Opening a connection takes one round trip of 0.2 to 2 ms;
+ * requests take 20 ms or more.
  */
-const REUSE_WITHIN_MS = 300;
-/** Most connections of either kind to one endpoint. */
+const KEEP_ALIVE_MS = 300;
+/** Maximum number of connections in each of the two pools of an endpoint. */
 const MAX_CONNECTIONS = 64;
 
 interface EndpointPools {
-  /** Connections that are used again. */
-  readonly kept: Pool;
-  /** Connections that end with their request. */
-  readonly single: Pool;
+  /** Connections that are kept alive for further requests. */
+  readonly reusable: Pool;
+  /** Connections that close after one request. */
+  readonly singleUse: Pool;
 }
 
-/** Connections of one process to all endpoints. */
+/** The connections of one process to all endpoints. */
 export class EndpointConnections {
   private readonly pools = new Map<string, EndpointPools>();
 
-  /** Begins a request at `host:port`. */
+  /** Starts a request to the endpoint at `host:port`. */
   dispatch(
     address: string,
     options: Dispatcher.DispatchOptions,
     handler: Dispatcher.DispatchHandler,
     mayBeRepeated: boolean,
   ): void {
-    const { kept, single } = this.poolsOf(address);
-    if (mayBeRepeated) kept.dispatch(options, handler);
-    else single.dispatch({ ...options, reset: true }, handler);
+    const { reusable, singleUse } = this.poolsFor(address);
+    if (mayBeRepeated) reusable.dispatch(options, handler);
+    else singleUse.dispatch({ ...options, reset: true }, handler);
   }
 
-  /** Closes the connections to an endpoint; requests under way end by themselves. */
-  forget(address: string): void {
+  /** Closes the connections to an endpoint; requests in progress continue to their end. */
+  closeConnectionsTo(address: string): void {
     const pools = this.pools.get(address);
     this.pools.delete(address);
-    // Nobody waits for the connections to close, so there is nobody to tell of a failure either.
-    for (const pool of [pools?.kept, pools?.single]) pool?.close().catch(() => undefined);
+    // Nothing waits for the connections to close, so a failure to close is not reported.
+    for (const pool of [pools?.reusable, pools?.singleUse]) pool?.close().catch(() => undefined);
   }
 
-  /** Addresses with connections. */
+  /** Addresses that have connection pools. */
   get addresses(): string[] {
     return [...this.pools.keys()];
   }
 
-  /** Breaks all connections. */
+  /** Closes all connections at once, including those with requests in progress. */
   async destroy(): Promise<void> {
-    const pools = [...this.pools.values()].flatMap(({ kept, single }) => [kept, single]);
+    const pools = [...this.pools.values()].flatMap(({ reusable, singleUse }) => [
+      reusable,
+      singleUse,
+    ]);
     this.pools.clear();
     await Promise.all(pools.map((pool) => pool.destroy()));
   }
 
-  private poolsOf(address: string): EndpointPools {
-    const known = this.pools.get(address);
-    if (known !== undefined) return known;
-    const fresh = { kept: createPool(address), single: createPool(address) };
-    this.pools.set(address, fresh);
-    return fresh;
+  private poolsFor(address: string): EndpointPools {
+    const existing = this.pools.get(address);
+    if (existing !== undefined) return existing;
+    const created = { reusable: createPool(address), singleUse: createPool(address) };
+    this.pools.set(address, created);
+    return created;
   }
 }
 
@@ -79,9 +84,10 @@
   return new Pool(`http://${address}`, {
     connections: MAX_CONNECTIONS,
     pipelining: 1,
-    keepAliveTimeout: REUSE_WITHIN_MS,
-    // Endpoints allow seconds in their answers, which would go before the limit above.
-    keepAliveMaxTimeout: REUSE_WITHIN_MS,
+    keepAliveTimeout: KEEP_ALIVE_MS,
+    // Endpoints allow seconds in their Keep-Alive response headers, which would override the limit
+    // above.
+    keepAliveMaxTimeout: KEEP_ALIVE_MS,
     connect: connectorWithin(CONNECT_TIMEOUT_MS),
   });
 }
--- a/packages/forwarding/src/endpoint-queue.test.ts
+++ b/packages/forwarding/src/endpoint-queue.test.ts
@@ -16,10 +16,10 @@
   readonly knownWithinMs = 1200;
   readonly free = new Map<string, number>();
   slots = 0;
-  looks = 0;
+  chooseCalls = 0;
 
   choose(_service: string, tried: ReadonlySet<string>): ChosenEndpoint | undefined {
-    this.looks += 1;
+    this.chooseCalls += 1;
     for (const [endpointId, count] of this.free) {
       if (count > 0 && !tried.has(endpointId)) return { endpointId, address: 'a:1', load: 0 };
     }
@@ -31,7 +31,7 @@
   }
 
   capacity(_service: string, excluded: ReadonlySet<string>): { slots: number; sharers: number } {
-    // All slots are those of one endpoint.
+    // All slots belong to one endpoint.
     return { slots: excluded.has('e') ? 0 : this.slots, sharers: 1 };
   }
 }
@@ -62,11 +62,11 @@
   };
 }
 
-/** Collects the names of requests in the order in which they got an endpoint. */
-function follow(setup: Setup, requests: Record<string, EndpointQueueRequest>): string[] {
+/** Collects the names of requests in the order in which they got an endpoint or were refused. */
+function collectOrder(setup: Setup, requests: Record<string, EndpointQueueRequest>): string[] {
   const order: string[] = [];
-  for (const [name, one] of Object.entries(requests)) {
-    void setup.queue.enter(one).endpoint.then((endpoint) => {
+  for (const [name, queued] of Object.entries(requests)) {
+    void setup.queue.enter(queued).endpoint.then((endpoint) => {
       order.push(endpoint === undefined ? `${name} refused` : name);
     });
   }
@@ -79,7 +79,7 @@
 
 describe('EndpointQueue', () => {
   test(
-    title('gives a free endpoint at once, and counts it before the next one asks'),
+    title('assigns a free endpoint at once, and counts it before the next request enters'),
     async (t) => {
       const { finder, queue } = setup(1);
       finder.free.set('e', 1);
@@ -93,10 +93,10 @@
     },
   );
 
-  test(title('a slot that opens goes to whoever can still be on time'), async (t) => {
+  test(title('a slot that becomes free goes to a request that can meet its target'), async (t) => {
     const all = setup(8);
     all.clock.nowMs = 400;
-    const order = follow(all, {
+    const order = collectOrder(all, {
       late: request({ onTimeUntilMs: 300, deadlineMs: 3000 }),
       fresh: request({ onTimeUntilMs: 700 }),
       resumed: request({ onTimeUntilMs: 600 }),
@@ -109,10 +109,10 @@
     t.deepEqual(order, ['resumed', 'fresh', 'late']);
   });
 
-  test(title('what cannot be served in its time is refused at once, the rest waits'), async (t) => {
+  test(title('refuses a request at once that cannot meet its deadline'), async (t) => {
     const all = setup(2);
     all.queue.ended(SERVICE, { runMs: 600 });
-    const order = follow(all, {
+    const order = collectOrder(all, {
       short: request({ deadlineMs: 800 }),
       long: request({ deadlineMs: 5000 }),
     });
@@ -124,9 +124,9 @@
     t.is(all.queue.length, 0);
   });
 
-  test(title('where no endpoint is known, waits as long as one takes to be heard'), async (t) => {
+  test(title('if no endpoint is known, waits until an endpoint would be announced'), async (t) => {
     const all = setup(0);
-    const order = follow(all, { only: request() });
+    const order = collectOrder(all, { only: request() });
     await settled();
     t.deepEqual(order, []);
     all.clock.nowMs = all.finder.knownWithinMs;
@@ -136,7 +136,7 @@
   });
 
   test(
-    title('an endpoint that was tried is chosen again only where nothing ran there'),
+    title('a tried endpoint is chosen again only if it did not execute the request'),
     async (t) => {
       const { finder, queue } = setup(1);
       finder.free.set('e', 2);
@@ -150,10 +150,12 @@
   );
 
   test(
-    title('does not wait to its deadline for an endpoint that it may not use again'),
+    title('does not wait until its deadline for an endpoint that it may not use again'),
     async (t) => {
       const all = setup(8);
-      const order = follow(all, { doubtful: request({ tried: new Set(['e']), mayRepeat: false }) });
+      const order = collectOrder(all, {
+        doubtful: request({ tried: new Set(['e']), mayRepeat: false }),
+      });
       all.clock.nowMs = all.finder.knownWithinMs;
       all.queue.ended(SERVICE);
       await settled();
@@ -162,50 +164,49 @@
   );
 
   test(
-    title('a long queue is looked at once for each slot, not once for each request'),
+    title('a long queue chooses an endpoint once per free slot, not once per request'),
     async (t) => {
-      // Looks of the queue's own timer would be counted too where the process stands still for a moment.
+      // The queue's own poll timer is disabled: if the process were suspended, its calls would be
+      // counted too.
       const all = setup(8, { after: () => undefined });
       const requests = Array.from(
         { length: 100 },
         (_, index) => [`request ${index}`, request()] as const,
       );
-      const order = follow(all, Object.fromEntries(requests));
-      const { looks } = all.finder;
+      const order = collectOrder(all, Object.fromEntries(requests));
+      const { chooseCalls } = all.finder;
       all.finder.free.set('e', 2);
       all.queue.ended(SERVICE);
       await settled();
       t.is(order.length, 2);
-      t.is(all.finder.looks - looks, 3);
+      t.is(all.finder.chooseCalls - chooseCalls, 3);
       all.clock.nowMs = 5000;
       all.queue.ended(SERVICE);
       t.is(all.queue.length, 0);
     },
   );
 
-  test(title('says when there is room for a caller that comes back'), async (t) => {
+  test(title('estimates when a slot is free for a caller that retries'), async (t) => {
     const all = setup(8);
     all.queue.ended(SERVICE, { runMs: 800 });
-    t.is(all.queue.roomInMs(SERVICE), 100, 'one run in eight slots');
-    const places = Array.from({ length: 4 }, () => all.queue.enter(request()));
-    t.is(all.queue.roomInMs(SERVICE), 500, 'behind four others');
-    for (const place of places) place.leave();
+    t.is(all.queue.nextSlotInMs(SERVICE), 100, 'one execution in eight slots');
+    const tickets = Array.from({ length: 4 }, () => all.queue.enter(request()));
+    t.is(all.queue.nextSlotInMs(SERVICE), 500, 'after four other requests');
+    for (const ticket of tickets) ticket.leave();
     const none = setup(0);
-    t.is(none.queue.roomInMs(SERVICE), none.finder.knownWithinMs);
+    t.is(none.queue.nextSlotInMs(SERVICE), none.finder.knownWithinMs);
     await settled();
   });
 
   test(
-    title(
-      'what is late leaves its share of the slots to what keeps coming, but not beyond its end',
-    ),
+    title('a late request leaves slots to new requests, unless it could not be served later'),
     async (t) => {
       const all = setup(2);
       all.finder.free.set('e', 2);
       all.queue.ended(SERVICE, { runMs: 1000 });
       for (let count = 0; count < 6; count += 1) all.queue.enter(request()).leave();
       all.finder.free.set('e', 2);
-      const order = follow(all, {
+      const order = collectOrder(all, {
         late: request({ onTimeUntilMs: -1 }),
         last: request({ onTimeUntilMs: -1, deadlineMs: 1450 }),
         fresh: request(),
@@ -220,39 +221,42 @@
     },
   );
 
-  test(title('slow answers of a moment do not make all that come look late'), async (t) => {
-    const all = setup(2);
-    for (let count = 0; count < 100; count += 1)
-      all.queue.ended(SERVICE, { runMs: 5000, leadMs: 2000 });
-    for (let count = 0; count < 20; count += 1) all.queue.enter(request()).leave();
-    all.finder.free.set('e', 1);
-    t.deepEqual(follow(all, { fresh: request({ deadlineMs: 20_000 }) }), []);
-    await settled();
-    t.is(all.queue.length, 0, 'it goes at once to the slot that is free');
-  });
+  test(
+    title('responses that are slow for a moment do not make all new requests late'),
+    async (t) => {
+      const all = setup(2);
+      for (let count = 0; count < 100; count += 1)
+        all.queue.ended(SERVICE, { runMs: 5000, leadMs: 2000 });
+      for (let count = 0; count < 20; count += 1) all.queue.enter(request()).leave();
+      all.finder.free.set('e', 1);
+      t.deepEqual(collectOrder(all, { fresh: request({ deadlineMs: 20_000 }) }), []);
+      await settled();
+      t.is(all.queue.length, 0, 'it takes the free slot at once');
+    },
+  );
 
   test(
-    title('among the late ones, who was sent somewhere in vain goes first, and waits on'),
+    title('among late requests, those already sent to an endpoint go first and are not refused'),
     async (t) => {
       const all = setup(2);
       all.queue.ended(SERVICE, { runMs: 1000 });
       const late = { onTimeUntilMs: -1, deadlineMs: 2500 };
-      const order = follow(all, {
+      const order = collectOrder(all, {
         first: request(late),
         second: request(late),
         third: request(late),
         again: request({ ...late, tried: new Set(['other']) }),
       });
       await settled();
-      const afterFirstLook = [...order];
+      const afterFirstScan = [...order];
       all.finder.free.set('e', 1);
       all.queue.ended(SERVICE);
       await settled();
-      const afterSecondLook = [...order];
+      const afterSecondScan = [...order];
       all.clock.nowMs = 6000;
       all.queue.ended(SERVICE);
-      t.deepEqual(afterFirstLook, ['third refused'], 'more late ones than can be served');
-      t.deepEqual(afterSecondLook, ['third refused', 'again']);
+      t.deepEqual(afterFirstScan, ['third refused'], 'more late requests than can be served');
+      t.deepEqual(afterSecondScan, ['third refused', 'again']);
     },
   );
 });
--- a/packages/forwarding/src/endpoint-queue.ts
+++ b/packages/forwarding/src/endpoint-queue.ts
@@ -1,74 +1,91 @@
 /**
- * Requests that wait at this entry for an endpoint of their service. Whoever has the best turn
- * gets the next free slot; who cannot be served in its time is told so at once.
+ * Queue of the requests that wait at this entry for an endpoint of their service. The first request
+ * in the queue order gets the next free slot; a request that cannot be served in time is rejected
+ * at once.
  */
 import { FairQueueOrder, WaitEstimate, timelinessOf } from '@shedline/admission';
 import type { WaitingCapacity, QueuedRequest } from '@shedline/admission';
 import type { ChoiceTerms, SharedPrompt } from '@shedline/types';
 
-/** Time between looks for free slots: those that other entries leave are not announced here. */
-const LOOK_INTERVAL_MS = 15;
+/**
+ * Interval at which free slots are polled: this entry is not notified of slots that others free.
+ */
+const POLL_INTERVAL_MS = 15;
 const NONE: ReadonlySet<string> = new Set();
 /**
- * Part of the time that a request has left to be on time that may count for its way. Endpoints that were slow for a moment
- * would make all that come look late otherwise, and be left to nobody while they are free.
+ * Maximum share of the time left to a request's target that is reserved for the time to its first
+ * event. Without a limit, endpoints that respond slowly for a moment would make all new requests
+ * count as late, and free slots would stay unused.
  */
-const MOST_LEAD_SHARE = 0.5;
-/** Soonest return of a refused caller: its next attempt opens a connection elsewhere in a few ms, and finds the same load. */
-const LEAST_RETURN_MS = 50;
+const MAX_LEAD_SHARE = 0.5;
+/**
+ * Minimum time after which a rejected caller is asked to retry. Its next attempt would otherwise
+ * connect to another entry within a few ms and find the same load.
+ */
+const MIN_RETRY_AFTER_MS = 50;
 
-/** An endpoint chosen for one send. */
+/** The endpoint chosen for one send. */
 export interface ChosenEndpoint {
   readonly endpointId: string;
   /** `host:port`. */
   readonly address: string;
-  /** Requests that were thought to be under way there, for the log. */
+  /** Estimated number of requests in progress at the endpoint, for the log. */
   readonly load: number;
-  /** Whether it was chosen for a request that is late already; see {@link SendEnd}. */
+  /**
+   * Whether the request had passed its target when the endpoint was chosen; see {@link SendEnd}.
+   */
   readonly isForLate?: boolean;
 }
 
-/** How a send ended, as far as it matters for those that wait. */
+/** How a send ended, as far as it matters for the waiting requests. */
 export interface SendEnd {
-  /** Where the endpoint completed the request: how long it was at work on it. */
+  /** Execution time of the request; undefined unless the endpoint completed it. */
   readonly runMs?: number | undefined;
-  /** Time to the first event of the answer, where there was one. */
+  /** Time to the first event of the response; undefined if there was none. */
   readonly leadMs?: number | undefined;
-  /** What {@link ChosenEndpoint} said. */
+  /** Value of the same field of {@link ChosenEndpoint}. */
   readonly isForLate?: boolean | undefined;
 }
 
-/** Finds endpoints with room. */
+/** Finds endpoints with free slots. */
 export interface EndpointFinder {
-  /** An endpoint that may take a request now, but none of `tried`; one that keeps its prompt part. */
+  /**
+   * Returns an endpoint outside `tried` that may take a request now, preferably one that has the
+   * shared part of its prompt cached; undefined if there is none.
+   */
   choose(
     service: string,
     tried: ReadonlySet<string>,
     terms?: ChoiceTerms,
   ): ChosenEndpoint | undefined;
-  /** A request is about to be sent to the endpoint. */
+  /** Notes that a request is about to be sent to the endpoint. */
   began(endpointId: string): void;
-  /** What the endpoints of a service but `excluded` take; no slots where none is known to be up. */
+  /**
+   * Returns the capacity of a service without the `excluded` endpoints; 0 slots if none is known to
+   * be up.
+   */
   capacity(service: string, excluded: ReadonlySet<string>): WaitingCapacity;
-  /** Time within which every endpoint that is up makes itself known. */
+  /** Time within which every endpoint that is up has announced itself. */
   readonly knownWithinMs: number;
 }
 
-/** A request that wants an endpoint. */
+/** A request for an endpoint. */
 export interface EndpointQueueRequest extends QueuedRequest {
   readonly service: string;
-  /** Endpoints that it was sent to already. */
+  /** Ids of the endpoints that the request was already sent to. */
   readonly tried: ReadonlySet<string>;
-  /** Whether one that was tried may be chosen again where no other has room. */
+  /** Whether an endpoint of `tried` may be chosen again if no other has a free slot. */
   readonly mayRepeat: boolean;
   readonly prompt?: SharedPrompt;
 }
 
-/** A place in the queue. */
-export interface QueuePlace {
-  /** Undefined where the request cannot be served; otherwise its send is counted already. */
+/** A request's position in the queue. */
+export interface QueueTicket {
+  /**
+   * Resolves to undefined if the request cannot be served; otherwise its send is already counted.
+   */
   readonly endpoint: Promise<ChosenEndpoint | undefined>;
-  /** Leaves the queue. */
+  /** Removes the request from the queue. */
   leave(): void;
 }
 
@@ -76,29 +93,30 @@
 export interface EndpointQueueOptions {
   readonly finder: EndpointFinder;
   readonly nowMs: () => number;
-  /** Calls back after a time, on the clock of `nowMs`; a timer of the process where it is left out. */
+  /** Calls `callback` after a delay on the clock of `nowMs`; `setTimeout` if omitted. */
   readonly after?: (delayMs: number, callback: () => void) => void;
 }
 
 interface Waiter {
   readonly request: EndpointQueueRequest;
-  readonly sinceMs: number;
+  readonly enqueuedAtMs: number;
   readonly settle: (endpoint: ChosenEndpoint | undefined) => void;
 }
 
-/** What one look at the queue has found for a service so far. */
-interface ServiceRound {
+/** State of one scan of the queue for one service. */
+interface ServiceScan {
   readonly capacity: WaitingCapacity;
-  /** Requests that wait for it. */
-  waiting: number;
-  /** Those that were looked at and go on to wait. */
-  before: number;
-  /** Of these, the late ones that can wait. */
-  lateBefore: number;
-  isFull: boolean;
+  /** Requests that waited for the service when the scan began. */
+  waitingCount: number;
+  /** Scanned requests that continue to wait. */
+  remainingCount: number;
+  /** Scanned requests that continue to wait, have passed their target and are not urgent. */
+  remainingLateCount: number;
+  /** Whether no endpoint of the service has a free slot. */
+  isExhausted: boolean;
 }
 
-/** The queue of one entry. */
+/** The queue of one entry for endpoints. */
 export class EndpointQueue {
   private readonly finder: EndpointFinder;
   private readonly nowMs: () => number;
@@ -106,9 +124,9 @@
   private readonly queueOrder = new FairQueueOrder();
   private waiters: Waiter[] = [];
   private readonly after: (delayMs: number, callback: () => void) => void;
-  private isLookDue = false;
-  /** Sends of requests that were late already. */
-  private lateUnderWay = 0;
+  private isPollScheduled = false;
+  /** Sends in progress of requests that had passed their target when their endpoint was chosen. */
+  private lateInFlight = 0;
 
   constructor(options: EndpointQueueOptions) {
     this.finder = options.finder;
@@ -116,50 +134,54 @@
     this.after = options.after ?? ((delayMs, callback) => setTimeout(callback, delayMs));
   }
 
-  /** Requests that wait. */
+  /** Number of waiting requests. */
   get length(): number {
     return this.waiters.length;
   }
 
-  /** Takes a place in the queue, or an endpoint at once where nobody waits and one has room. */
-  enter(request: EndpointQueueRequest): QueuePlace {
+  /**
+   * Queues a request, or gives it an endpoint at once if no other request waits and a slot is free.
+   */
+  enter(request: EndpointQueueRequest): QueueTicket {
     this.queueOrder.asked(request.rank, this.nowMs());
     this.estimateOf(request.service).arrived(this.nowMs());
-    const isFree = !this.waiters.some((other) => other.request.service === request.service);
-    const toSend = this.toBeSentBy(request);
-    const mayGo = isFree && this.mayGo(toSend, this.finder.capacity(request.service, NONE));
-    const found = mayGo ? this.take(toSend, true) : undefined;
+    const isFirst = !this.waiters.some((other) => other.request.service === request.service);
+    const adjusted = this.withSendTargets(request);
+    const mayTakeSlot =
+      isFirst && this.mayTakeSlot(adjusted, this.finder.capacity(request.service, NONE));
+    const found = mayTakeSlot ? this.assignEndpoint(adjusted, true) : undefined;
     if (found !== undefined) return { endpoint: Promise.resolve(found), leave: () => undefined };
-    return this.enqueue(toSend);
+    return this.enqueue(adjusted);
   }
 
   /**
-   * Time until there is a slot for a request that comes back, behind those that wait here now; where no endpoint is
-   * known, until one that is up makes itself known.
+   * Returns the estimated time until a slot is free for a retried request, after the requests that
+   * wait here now. If no endpoint is known, returns the time within which an endpoint that is up
+   * announces itself.
    */
-  roomInMs(service: string): number {
+  nextSlotInMs(service: string): number {
     const capacity = this.finder.capacity(service, NONE);
     if (capacity.slots === 0) return this.finder.knownWithinMs;
     const position = this.waiters.filter(({ request }) => request.service === service).length;
-    return Math.max(LEAST_RETURN_MS, this.estimateOf(service).waitMs(position, capacity));
+    return Math.max(MIN_RETRY_AFTER_MS, this.estimateOf(service).waitMs(position, capacity));
   }
 
-  /** Notes that a send ended. */
+  /** Notes that a send ended and its slot is free. */
   ended(service: string, { runMs, leadMs, isForLate = false }: SendEnd = {}): void {
     if (runMs !== undefined) this.estimateOf(service).completed(runMs);
     if (leadMs !== undefined) this.estimateOf(service).answered(leadMs);
-    if (isForLate) this.lateUnderWay -= 1;
-    this.serve();
+    if (isForLate) this.lateInFlight -= 1;
+    this.assignSlots();
   }
 
-  private enqueue(request: EndpointQueueRequest): QueuePlace {
+  private enqueue(request: EndpointQueueRequest): QueueTicket {
     let settle: Waiter['settle'] = () => undefined;
     const endpoint = new Promise<ChosenEndpoint | undefined>((resolve) => {
       settle = resolve;
     });
-    const waiter: Waiter = { request, sinceMs: this.nowMs(), settle };
+    const waiter: Waiter = { request, enqueuedAtMs: this.nowMs(), settle };
     this.waiters.push(waiter);
-    this.serve();
+    this.assignSlots();
     return {
       endpoint,
       leave: () => {
@@ -169,96 +191,114 @@
   }
 
   /**
-   * A request is late from when it would have to be sent on, not from when its answer would have to be there. Counted
-   * from the latter, the turns of an overload all went to requests that became late on their way.
+   * Moves a request's target earlier by the expected time to the first event, as it has to be sent
+   * by then. Without that, during an overload all slots went to requests that passed their target
+   * after they were sent.
    */
-  private toBeSentBy(request: EndpointQueueRequest): EndpointQueueRequest {
+  private withSendTargets(request: EndpointQueueRequest): EndpointQueueRequest {
     const estimate = this.estimateOf(request.service);
     const leftMs = Math.max(0, request.onTimeUntilMs - this.nowMs());
     const onTimeUntilMs =
-      request.onTimeUntilMs - Math.min(estimate.leadMs, MOST_LEAD_SHARE * leftMs);
-    // Who was sent somewhere in vain goes before those that were not, once both are late: it may not be refused as not run.
+      request.onTimeUntilMs - Math.min(estimate.leadMs, MAX_LEAD_SHARE * leftMs);
+    // Among late requests, those already sent to an endpoint go first: they can't be refused as not
+    // executed.
     const urgentFromMs = request.tried.size > 0 ? this.nowMs() : estimate.urgentFromMs(request);
     return { ...request, onTimeUntilMs, urgentFromMs };
   }
 
   /**
-   * Whether a request may take a slot. One that is late already leaves this entry's share of the slots to those that
-   * can still be on time and will come while it runs; it goes when it could not be served any more otherwise. After a
-   * loss of all power in a peak every slot went to what had waited, and what came then was late as well.
+   * Whether a request may take a slot. A request past its target leaves slots of this entry's share
+   * to the requests that are expected to arrive while it executes and can still meet their targets,
+   * unless it is urgent: it could not be served later. Without this rule, after a power loss in a
+   * peak every slot went to requests that had waited, and new requests missed their targets too.
    */
-  private mayGo(request: EndpointQueueRequest, { slots, sharers }: WaitingCapacity): boolean {
+  private mayTakeSlot(request: EndpointQueueRequest, { slots, sharers }: WaitingCapacity): boolean {
     const nowMs = this.nowMs();
     if (timelinessOf(request, nowMs) !== 'late') return true;
     const reserved = this.estimateOf(request.service).slotsForNew(nowMs);
-    return this.lateUnderWay + reserved < slots / Math.max(1, sharers);
+    return this.lateInFlight + reserved < slots / Math.max(1, sharers);
   }
 
-  /** Gives free slots to those whose turn it is, and turns away who cannot be served. */
-  private serve(): void {
+  /** Assigns free slots in the queue order, and removes the requests that cannot be served. */
+  private assignSlots(): void {
     const nowMs = this.nowMs();
     const ordered = this.queueOrder.order(this.waiters, nowMs);
-    const rounds = new Map<string, ServiceRound>();
-    for (const { request } of ordered) this.roundOf(rounds, request.service).waiting += 1;
+    const scans = new Map<string, ServiceScan>();
+    for (const { request } of ordered) this.scanOf(scans, request.service).waitingCount += 1;
     for (const waiter of ordered) {
-      const round = this.roundOf(rounds, waiter.request.service);
-      const endpoint = this.takeInRound(waiter.request, round);
-      if (endpoint !== undefined || this.isHopeless(waiter, round, nowMs)) {
+      const scan = this.scanOf(scans, waiter.request.service);
+      const endpoint = this.assignInScan(waiter.request, scan);
+      if (endpoint !== undefined || this.cannotBeServed(waiter, scan, nowMs)) {
         this.remove(waiter, endpoint);
         continue;
       }
-      round.before += 1;
-      if (timelinessOf(waiter.request, nowMs) === 'late') round.lateBefore += 1;
+      scan.remainingCount += 1;
+      if (timelinessOf(waiter.request, nowMs) === 'late') scan.remainingLateCount += 1;
     }
-    this.keepLooking();
+    this.schedulePoll();
   }
 
-  private roundOf(rounds: Map<string, ServiceRound>, service: string): ServiceRound {
-    const known = rounds.get(service);
-    if (known !== undefined) return known;
+  private scanOf(scans: Map<string, ServiceScan>, service: string): ServiceScan {
+    const existing = scans.get(service);
+    if (existing !== undefined) return existing;
     const capacity = this.finder.capacity(service, NONE);
-    const fresh = { capacity, waiting: 0, before: 0, lateBefore: 0, isFull: false };
-    rounds.set(service, fresh);
-    return fresh;
+    const created = {
+      capacity,
+      waitingCount: 0,
+      remainingCount: 0,
+      remainingLateCount: 0,
+      isExhausted: false,
+    };
+    scans.set(service, created);
+    return created;
   }
 
-  private takeInRound(
+  private assignInScan(
     request: EndpointQueueRequest,
-    round: ServiceRound,
+    scan: ServiceScan,
   ): ChosenEndpoint | undefined {
-    if (round.isFull || !this.mayGo(request, round.capacity)) return undefined;
-    // A queue at an endpoint fills gaps between runs; what waits there has no turn any more.
-    const endpoint = this.take(request, round.waiting <= 1);
-    // Where a request that was sent nowhere yet finds no room, nobody does.
-    if (endpoint === undefined && request.tried.size === 0) round.isFull = true;
+    if (scan.isExhausted || !this.mayTakeSlot(request, scan.capacity)) return undefined;
+    // Queueing at an endpoint avoids idle time between executions, but requests there are no longer
+    // reordered.
+    const endpoint = this.assignEndpoint(request, scan.waitingCount <= 1);
+    // A request with no endpoint excluded found no slot, so no other request will.
+    if (endpoint === undefined && request.tried.size === 0) scan.isExhausted = true;
     return endpoint;
   }
 
-  private take(request: EndpointQueueRequest, mayQueue: boolean): ChosenEndpoint | undefined {
+  private assignEndpoint(
+    request: EndpointQueueRequest,
+    mayQueue: boolean,
+  ): ChosenEndpoint | undefined {
     const { service, tried, mayRepeat, prompt } = request;
-    const repeated = mayRepeat && tried.size > 0;
+    const mayRetryTried = mayRepeat && tried.size > 0;
     const terms = { mayQueue, prompt };
     const found =
       this.finder.choose(service, tried, terms) ??
-      (repeated ? this.finder.choose(service, NONE, terms) : undefined);
+      (mayRetryTried ? this.finder.choose(service, NONE, terms) : undefined);
     if (found === undefined) return undefined;
     this.finder.began(found.endpointId);
     this.queueOrder.served(request, this.nowMs());
     const isForLate = timelinessOf(request, this.nowMs()) !== 'on time';
-    if (isForLate) this.lateUnderWay += 1;
+    if (isForLate) this.lateInFlight += 1;
     return { ...found, isForLate };
   }
 
-  private isHopeless({ request, sinceMs }: Waiter, round: ServiceRound, nowMs: number): boolean {
+  private cannotBeServed(
+    { request, enqueuedAtMs }: Waiter,
+    scan: ServiceScan,
+    nowMs: number,
+  ): boolean {
     if (request.deadlineMs <= nowMs) return true;
     const { service, tried, mayRepeat } = request;
     const isAnyUsable = mayRepeat || tried.size === 0;
-    const capacity = isAnyUsable ? round.capacity : this.finder.capacity(service, tried);
-    if (capacity.slots === 0) return nowMs - sinceMs >= this.finder.knownWithinMs;
+    const capacity = isAnyUsable ? scan.capacity : this.finder.capacity(service, tried);
+    if (capacity.slots === 0) return nowMs - enqueuedAtMs >= this.finder.knownWithinMs;
     const estimate = this.estimateOf(service);
     const isLate = timelinessOf(request, nowMs) === 'late';
-    if (isLate && estimate.isBeyondLate(request, round.lateBefore, capacity, nowMs)) return true;
-    return estimate.isHopeless(request, round.before, capacity, nowMs);
+    if (isLate && estimate.isBeyondLate(request, scan.remainingLateCount, capacity, nowMs))
+      return true;
+    return estimate.isHopeless(request, scan.remainingCount, capacity, nowMs);
   }
 
   private remove(waiter: Waiter, endpoint: ChosenEndpoint | undefined): void {
@@ -268,20 +308,20 @@
     waiter.settle(endpoint);
   }
 
-  private keepLooking(): void {
-    if (this.waiters.length === 0 || this.isLookDue) return;
-    this.isLookDue = true;
-    this.after(LOOK_INTERVAL_MS, () => {
-      this.isLookDue = false;
-      this.serve();
+  private schedulePoll(): void {
+    if (this.waiters.length === 0 || this.isPollScheduled) return;
+    this.isPollScheduled = true;
+    this.after(POLL_INTERVAL_MS, () => {
+      this.isPollScheduled = false;
+      this.assignSlots();
     });
   }
 
   private estimateOf(service: string): WaitEstimate {
-    const known = this.estimates.get(service);
-    if (known !== undefined) return known;
-    const fresh = new WaitEstimate();
-    this.estimates.set(service, fresh);
-    return fresh;
+    const existing = this.estimates.get(service);
+    if (existing !== undefined) return existing;
+    const created = new WaitEstimate();
+    this.estimates.set(service, created);
+    return created;
   }
 }
--- a/packages/forwarding/src/endpoint-sender.test.ts
+++ b/packages/forwarding/src/endpoint-sender.test.ts
@@ -35,12 +35,12 @@
   return `${text.length.toString(16)}\r\n${text}\r\n`;
 }
 
-/** An endpoint that answers each request with raw bytes. */
-async function endpoint(answer: (socket: Socket) => void): Promise<Server> {
+/** Starts an endpoint that responds to each request with raw bytes. */
+async function startEndpoint(respond: (socket: Socket) => void): Promise<Server> {
   const server = createServer((socket) => {
     socket.on('error', () => undefined);
     socket.on('data', () => {
-      answer(socket);
+      respond(socket);
     });
   });
   await new Promise<void>((resolve) => {
@@ -90,59 +90,58 @@
   return { result, parts };
 }
 
-async function answeredWith(bytes: string, closes: 'keep' | 'end' | 'reset'): Promise<Sent> {
+async function sendAndRespond(bytes: string, closes: 'keep' | 'end' | 'reset'): Promise<Sent> {
   let reset = (): void => undefined;
-  const server = await endpoint((socket) => {
+  const server = await startEndpoint((socket) => {
     if (closes === 'reset') reset = () => socket.resetAndDestroy();
     socket.write(bytes, () => {
       if (closes === 'end') socket.end();
     });
   });
-  // What comes together with the last bytes is for the tests of the connector.
+  // A reset that arrives together with the last bytes is covered by the tests of the connector.
   const sent = await sendTo((server.address() as AddressInfo).port, () => setImmediate(reset));
   server.close();
   return sent;
 }
 
-/** Far longer than the first bytes of an endpoint take beside any load that tests run under. */
+/**
+ * Far longer than an endpoint takes to send its first bytes, whatever the load on the test machine.
+ */
 const SILENCE_LIMIT_MS = 1500;
 
 describe('endpoint sender', () => {
-  test(
-    title('reports a stop of its own as a stop, not as a failure of the endpoint'),
-    async (t) => {
-      const server = await endpoint((socket) =>
-        socket.write(STREAM_HEAD + chunk('id: 1\ndata: a\n\n')),
-      );
-      const { result } = await sendTo((server.address() as AddressInfo).port, (stop) => {
-        stop();
-      });
-      server.close();
-      t.is(result.kind, 'stopped');
-    },
-  );
+  test(title('reports its own stop as a stop, not as a failure of the endpoint'), async (t) => {
+    const server = await startEndpoint((socket) =>
+      socket.write(STREAM_HEAD + chunk('id: 1\ndata: a\n\n')),
+    );
+    const { result } = await sendTo((server.address() as AddressInfo).port, (stop) => {
+      stop();
+    });
+    server.close();
+    t.is(result.kind, 'stopped');
+  });
 
-  test(title('gives whole events and notes a stream that breaks off inside one'), async (t) => {
+  test(title('forwards whole events and detects a stream truncated inside an event'), async (t) => {
     const bytes = STREAM_HEAD + chunk('id: 1\ndata: a\n\nid: 2\nda');
-    const { result, parts } = await answeredWith(bytes, 'reset');
+    const { result, parts } = await sendAndRespond(bytes, 'reset');
     t.deepEqual(parts, ['id: 1\ndata: a\n\n']);
     t.like(result, { kind: 'ended', outcome: { kind: 'brokeOff' } });
   });
 
-  test(title('takes a stream for complete only at its last chunk'), async (t) => {
+  test(title('a stream is complete only after its last chunk'), async (t) => {
     const event = chunk('id: 1\ndata: a\n\n');
-    t.is((await answeredWith(`${STREAM_HEAD}${event}0\r\n\r\n`, 'keep')).result.kind, 'complete');
-    t.like((await answeredWith(STREAM_HEAD + event, 'end')).result, {
+    t.is((await sendAndRespond(`${STREAM_HEAD}${event}0\r\n\r\n`, 'keep')).result.kind, 'complete');
+    t.like((await sendAndRespond(STREAM_HEAD + event, 'end')).result, {
       outcome: { kind: 'brokeOff' },
     });
   });
 
   test(
-    title('takes an answer without length for complete only if its connection was not reset'),
+    title('a response without a length is complete only if its connection was not reset'),
     async (t) => {
       const bytes = `HTTP/1.1 200 OK\r\nStamp: s\r\nId: ${REQUEST_ID}\r\n\r\npart`;
-      t.is((await answeredWith(bytes, 'end')).result.kind, 'complete');
-      t.like((await answeredWith(bytes, 'reset')).result, {
+      t.is((await sendAndRespond(bytes, 'end')).result.kind, 'complete');
+      t.like((await sendAndRespond(bytes, 'reset')).result, {
         kind: 'ended',
         outcome: { kind: 'brokeOff' },
       });
@@ -150,13 +149,13 @@
   );
 
   test(
-    title('ends what is under way at a run that is gone, and not what its successor answers'),
+    title('fails the sends to a previous incarnation, but not those that the new one responds to'),
     async (t) => {
       const sockets: Socket[] = [];
-      const server = await endpoint((socket) => sockets.push(socket));
+      const server = await startEndpoint((socket) => sockets.push(socket));
       const address = `127.0.0.1:${(server.address() as AddressInfo).port}`;
       const sender = new EndpointSender({ protocol: PROTOCOL });
-      let heardCount = 0;
+      let partCount = 0;
       const sends = [1, 2].map(() =>
         sender.send(
           {
@@ -171,7 +170,7 @@
           {
             onHead: () => undefined,
             onPart: () => {
-              heardCount += 1;
+              partCount += 1;
               return true;
             },
           },
@@ -180,7 +179,7 @@
       while (sockets.length < 2) await pause(5);
       const startedAtMs = performance.now();
       sockets[1]?.write(STREAM_HEAD + chunk('id: 1\ndata: a\n\n'));
-      while (heardCount === 0) await pause(5);
+      while (partCount === 0) await pause(5);
       t.is(sender.loseUnheard(address, startedAtMs), 1);
       t.is(sender.loseUnheard('10.0.0.1:1', startedAtMs), 0);
       sockets[1]?.write('0\r\n\r\n');
@@ -194,38 +193,41 @@
     },
   );
 
-  test(title('knows a refusal that says that nothing ran'), async (t) => {
+  test(title('recognizes a refusal that states that the request was not executed'), async (t) => {
     const bytes = 'HTTP/1.1 503 Busy\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n';
-    const { result } = await answeredWith(bytes, 'keep');
+    const { result } = await sendAndRespond(bytes, 'keep');
     t.deepEqual(result, { kind: 'ended', outcome: { kind: 'refused', status: 503 } });
   });
 
-  test(title('takes an answer to another request, or without signature, for lost'), async (t) => {
-    const foreign = 'HTTP/1.1 200 OK\r\nStamp: s\r\nId: other\r\nContent-Length: 1\r\n\r\nx';
-    const unsigned = `HTTP/1.1 200 OK\r\nId: ${REQUEST_ID}\r\nContent-Length: 1\r\n\r\nx`;
-    for (const bytes of [foreign, unsigned]) {
-      const { result, parts } = await answeredWith(bytes, 'keep');
-      t.like(result, { kind: 'ended', outcome: { kind: 'lost' } });
-      t.deepEqual(parts, []);
-    }
-  });
+  test(
+    title('a response to another request, or without a signature, counts as lost'),
+    async (t) => {
+      const foreign = 'HTTP/1.1 200 OK\r\nStamp: s\r\nId: other\r\nContent-Length: 1\r\n\r\nx';
+      const unsigned = `HTTP/1.1 200 OK\r\nId: ${REQUEST_ID}\r\nContent-Length: 1\r\n\r\nx`;
+      for (const bytes of [foreign, unsigned]) {
+        const { result, parts } = await sendAndRespond(bytes, 'keep');
+        t.like(result, { kind: 'ended', outcome: { kind: 'lost' } });
+        t.deepEqual(parts, []);
+      }
+    },
+  );
 
-  test(title('tells a request that never went out from one that may have run'), async (t) => {
-    const server = await endpoint((socket) => socket.resetAndDestroy());
+  test(title('distinguishes a request never sent from one that may be executed'), async (t) => {
+    const server = await startEndpoint((socket) => socket.resetAndDestroy());
     const { port } = server.address() as AddressInfo;
     t.like((await sendTo(port)).result, { kind: 'ended', outcome: { kind: 'lost' } });
     await new Promise((resolve) => server.close(resolve));
     t.like((await sendTo(port)).result, { kind: 'ended', outcome: { kind: 'notSent' } });
   });
 
-  test(title('gives a silent endpoint up and closes its connection'), async (t) => {
+  test(title('gives up an unresponsive endpoint and closes its connection'), async (t) => {
     const closed: Promise<unknown>[] = [];
-    const begins = STREAM_HEAD + chunk('id: 1\ndata: a\n\n');
+    const firstPart = STREAM_HEAD + chunk('id: 1\ndata: a\n\n');
     for (const [bytes, kind] of [
-      [begins, 'brokeOff'],
+      [firstPart, 'brokeOff'],
       ['', 'lost'],
     ] as const) {
-      const server = await endpoint((socket) => {
+      const server = await startEndpoint((socket) => {
         closed.push(new Promise((resolve) => socket.once('close', resolve)));
         if (bytes !== '') socket.write(bytes);
       });
--- a/packages/forwarding/src/endpoint-sender.ts
+++ b/packages/forwarding/src/endpoint-sender.ts
@@ -1,6 +1,6 @@
 /**
- * Sends one request to one endpoint and reports how it ended. It decides nothing: what an outcome
- * means for the request is up to its plan.
+ * Sends requests to endpoints and reports how each send ended. The request plan decides what an
+ * outcome means for the request.
  */
 import type { Dispatcher } from 'undici';
 import { EndpointConnections } from './endpoint-connections.js';
@@ -8,14 +8,14 @@
 import type { StreamEvent } from './event-framer.js';
 import type { EndpointHead, EndpointProtocol, RawHeaders } from './protocol.js';
 import type { SendOutcome } from './request-plan.js';
-import { SilenceWatch } from './silence-watch.js';
+import { ResponseWatchdog } from './response-watchdog.js';
 
-/** Stands for the name of a server that is not asked for its certificate. */
-const NO_SERVER_NAME = 'none';
-/** Largest body of a failure that is kept to be passed on. */
-const MAX_FAILURE_BYTES = 1024 * 1024;
+/** Server name passed to the HTTP client; not used, since connections to endpoints have no TLS. */
+const PLACEHOLDER_SERVER_NAME = 'none';
+/** Maximum size of an error response body that is buffered for the caller. */
+const MAX_ERROR_BODY_BYTES = 1024 * 1024;
 
-/** One send. */
+/** A request to one endpoint. */
 export interface Send {
   /** `host:port` of the endpoint. */
   readonly address: string;
@@ -26,24 +26,28 @@
   readonly body: Buffer;
   /** Whether the request may be sent again if this send is lost. */
   readonly mayBeRepeated: boolean;
-  /** What to do when the endpoint says nothing for too long; undefined: nothing. */
+  /** When an unresponsive endpoint is detected; never if omitted. */
   readonly silence?: SilenceRule;
 }
 
-/** When an endpoint counts as silent, and what follows. */
+/** When an endpoint counts as unresponsive, and what the sender does then. */
 export interface SilenceRule {
+  /** Time without received bytes. */
   readonly limitMs: number;
-  /** `giveUp`: the send ends; `tell`: it goes on, and its receiver is told. */
-  readonly then: 'giveUp' | 'tell';
+  /** `giveUp`: the send fails; `notify`: it continues, and its receiver is notified. */
+  readonly then: 'giveUp' | 'notify';
 }
 
-/** What a send hands out while it runs. */
+/** Callbacks of a send in progress. */
 export interface SendReceiver {
-  /** The head of an answer that will be passed on. */
+  /** Called with the head of a response that will be forwarded. */
   onHead(head: EndpointHead): void;
-  /** Part of the body; of an event stream a whole event. False: pause until resumed. */
+  /**
+   * Called with a part of the body, or with a whole event of an event stream. Returns false to
+   * pause until {@link RunningSend.resume}.
+   */
   onPart(bytes: Buffer, event: StreamEvent | undefined): boolean;
-  /** The endpoint has said nothing for too long, or says something again. */
+  /** Called when the endpoint becomes unresponsive, and when bytes are received again. */
   onSilence?(isSilent: boolean): void;
 }
 
@@ -54,12 +58,12 @@
   | { readonly kind: 'failure'; readonly head: EndpointHead; readonly body: Buffer }
   | { readonly kind: 'ended'; readonly outcome: SendOutcome };
 
-/** A send under way. */
+/** A send in progress. */
 export interface RunningSend {
   readonly result: Promise<SendResult>;
-  /** Breaks the connection, so that the endpoint stops its work. */
+  /** Closes the connection, so that the endpoint stops executing the request. */
   stop(): void;
-  /** Goes on after {@link SendReceiver.onPart} asked for a pause. */
+  /** Resumes reading after {@link SendReceiver.onPart} returned false. */
   resume(): void;
 }
 
@@ -77,16 +81,16 @@
 export class EndpointSender implements RequestSender {
   private readonly protocol: EndpointProtocol;
   private readonly connections = new EndpointConnections();
-  private readonly running = new Map<string, Set<SendHandler>>();
+  private readonly inFlight = new Map<string, Set<SendHandler>>();
 
   constructor(options: EndpointSenderOptions) {
     this.protocol = options.protocol;
   }
 
-  /** Begins a send. */
+  /** Starts a send. */
   send(send: Send, receiver: SendReceiver): RunningSend {
-    const running = new SendHandler(this.protocol, send, receiver);
-    this.follow(send.address, running);
+    const handler = new SendHandler(this.protocol, send, receiver);
+    this.track(send.address, handler);
     const options: Dispatcher.DispatchOptions & { readonly servername: string } = {
       method: send.method,
       path: send.path,
@@ -94,55 +98,58 @@
       body: send.body.length === 0 ? null : send.body,
       headersTimeout: 0,
       bodyTimeout: 0,
-      // For TLS only. Left out, the client looks whether the Host header is an IP number, by an
-      // expression that takes 50 ms to compile when the first request comes.
-      servername: NO_SERVER_NAME,
+      // Used for TLS only. If omitted, the client checks whether the Host header is an IP address
+      // with a regular expression that takes 50 ms to compile at the first request.
+      servername: PLACEHOLDER_SERVER_NAME,
     };
-    this.connections.dispatch(send.address, options, running, send.mayBeRepeated);
-    return running;
+    this.connections.dispatch(send.address, options, handler, send.mayBeRepeated);
+    return handler;
   }
 
   /**
-   * Ends the sends to an address from which nothing was heard since `sinceMs`, on the steady clock, as
-   * the endpoint there has started again since; gives their number. Behind a cut no reset tells of it: a stream
-   * that may run once only would be held until its caller's deadline, though nobody can finish it.
+   * Fails the sends to an address that have received nothing since `sinceMs` on the monotonic
+   * clock, because the endpoint there has restarted since; returns their number. During a network
+   * partition no reset arrives: a stream that may be executed only once would stay open until its
+   * caller's deadline.
    */
   loseUnheard(address: string, sinceMs: number): number {
-    const lost = [...(this.running.get(address) ?? [])].filter((send) => send.heardAtMs < sinceMs);
-    for (const send of lost) send.lose('the endpoint has started again');
+    const lost = [...(this.inFlight.get(address) ?? [])].filter(
+      (send) => send.lastReceivedAtMs < sinceMs,
+    );
+    for (const send of lost) send.fail('the endpoint has restarted');
     return lost.length;
   }
 
-  private follow(address: string, send: SendHandler): void {
-    const sends = this.running.get(address) ?? new Set();
-    this.running.set(address, sends.add(send));
+  private track(address: string, send: SendHandler): void {
+    const sends = this.inFlight.get(address) ?? new Set();
+    this.inFlight.set(address, sends.add(send));
     void send.result.then(() => {
       sends.delete(send);
-      if (sends.size === 0 && this.running.get(address) === sends) this.running.delete(address);
+      if (sends.size === 0 && this.inFlight.get(address) === sends) this.inFlight.delete(address);
     });
   }
 
-  /** Closes the connections to an endpoint that is gone. */
+  /** Closes the connections to an endpoint that no longer exists. */
   forget(address: string): void {
-    this.connections.forget(address);
+    this.connections.closeConnectionsTo(address);
   }
 
-  /** Addresses with connections. */
+  /** Addresses that have connection pools. */
   get addresses(): string[] {
     return this.connections.addresses;
   }
 
-  /** Breaks all connections. */
+  /** Closes all connections at once, including those with sends in progress. */
   destroy(): Promise<void> {
     return this.connections.destroy();
   }
 }
 
-/** Follows one send through the events of its connection. */
+/** Handles the connection events of one send. */
 class SendHandler implements Dispatcher.DispatchHandler, RunningSend {
   readonly result: Promise<SendResult>;
-  /** When the endpoint was last heard, or the send began; on the steady clock. */
-  heardAtMs = performance.now();
+  /** When bytes were last received, or the send started; on the monotonic clock. */
+  lastReceivedAtMs = performance.now();
   private readonly protocol: EndpointProtocol;
   private readonly requestId: string;
   private readonly receiver: SendReceiver;
@@ -150,12 +157,12 @@
   private controller: Dispatcher.DispatchController | undefined;
   private head: EndpointHead | undefined;
   private framer: EventFramer | undefined;
-  private isPassedOn = false;
+  private isForwarding = false;
   private isStopped = false;
-  private kept: Buffer[] = [];
-  private keptBytes = 0;
-  private watch: SilenceWatch | undefined;
-  private isToldSilent = false;
+  private errorBody: Buffer[] = [];
+  private errorBodyBytes = 0;
+  private watchdog: ResponseWatchdog | undefined;
+  private isReportedSilent = false;
 
   constructor(protocol: EndpointProtocol, send: Send, receiver: SendReceiver) {
     const { requestId, silence } = send;
@@ -167,33 +174,33 @@
     });
     if (silence === undefined) return;
     const { limitMs, then } = silence;
-    this.watch = new SilenceWatch({
-      limitMs,
-      onSilent: () => {
-        if (then === 'giveUp') this.silent(limitMs);
-        else this.tellSilence(true);
+    this.watchdog = new ResponseWatchdog({
+      timeoutMs: limitMs,
+      onTimeout: () => {
+        if (then === 'giveUp') this.failAsSilent(limitMs);
+        else this.reportSilence(true);
       },
     });
   }
 
   stop(): void {
-    // Settled first: the abort is reported as an error of the connection.
-    this.finish({ kind: 'stopped' });
-    this.abandon('no longer wanted');
+    // Settled before the abort, which is reported as a connection error.
+    this.settleWith({ kind: 'stopped' });
+    this.abort('the request was stopped');
   }
 
   resume(): void {
-    this.watch?.resume();
+    this.watchdog?.resume();
     this.controller?.resume();
   }
 
   onRequestStart(controller: Dispatcher.DispatchController): void {
     this.controller = controller;
-    if (this.isStopped) controller.abort(new Error('no longer wanted'));
+    if (this.isStopped) controller.abort(new Error('the request was stopped'));
   }
 
   onResponseStart(controller: Dispatcher.DispatchController, statusCode: number): void {
-    this.heard();
+    this.noteReceived();
     if (statusCode < 200) return;
     const raw = (controller as { rawHeaders?: (Buffer | string)[] }).rawHeaders ?? [];
     const head = this.protocol.readHead(
@@ -203,112 +210,117 @@
     this.head = head;
     const isForeign = head.requestId !== undefined && head.requestId !== this.requestId;
     if (isForeign || (head.status < 300 && !head.isSigned)) {
-      const reason = isForeign ? 'the answer belongs to another request' : 'no signature';
-      this.finish({ kind: 'ended', outcome: { kind: 'lost', reason } });
+      const reason = isForeign
+        ? 'the response belongs to another request'
+        : 'the response has no signature';
+      this.settleWith({ kind: 'ended', outcome: { kind: 'lost', reason } });
       controller.abort(new Error(reason));
       return;
     }
     if (head.status >= 300) return;
-    this.isPassedOn = true;
+    this.isForwarding = true;
     if (head.isEventStream) this.framer = new EventFramer();
     this.receiver.onHead(head);
   }
 
   onResponseData(controller: Dispatcher.DispatchController, chunk: Buffer): void {
     if (this.isStopped) return;
-    this.heard();
-    if (!this.isPassedOn) {
-      this.keep(chunk);
+    this.noteReceived();
+    if (!this.isForwarding) {
+      this.appendErrorBody(chunk);
       return;
     }
-    let goesOn = true;
+    let mayContinue = true;
     if (this.framer === undefined) {
-      goesOn = this.receiver.onPart(chunk, undefined);
+      mayContinue = this.receiver.onPart(chunk, undefined);
     } else {
-      for (const event of this.framer.take(chunk)) {
-        goesOn = this.receiver.onPart(event.bytes, event) && goesOn;
+      for (const event of this.framer.push(chunk)) {
+        mayContinue = this.receiver.onPart(event.bytes, event) && mayContinue;
       }
     }
-    if (goesOn) return;
-    this.watch?.pause();
+    if (mayContinue) return;
+    this.watchdog?.pause();
     controller.pause();
   }
 
   onResponseEnd(): void {
     const { head } = this;
     if (head === undefined) return;
-    if (this.isPassedOn) {
+    if (this.isForwarding) {
       const isWhole = (this.framer?.pendingBytes ?? 0) === 0;
-      const reason = 'ended in the middle of an event';
-      this.finish(
+      const reason = 'the response ended in the middle of an event';
+      this.settleWith(
         isWhole ? { kind: 'complete' } : { kind: 'ended', outcome: { kind: 'brokeOff', reason } },
       );
       return;
     }
     if (head.isNotExecuted) {
-      this.finish({ kind: 'ended', outcome: { kind: 'refused', status: head.status } });
+      this.settleWith({ kind: 'ended', outcome: { kind: 'refused', status: head.status } });
       return;
     }
-    this.finish({ kind: 'failure', head, body: Buffer.concat(this.kept) });
+    this.settleWith({ kind: 'failure', head, body: Buffer.concat(this.errorBody) });
   }
 
   onResponseError(_controller: Dispatcher.DispatchController, error: Error): void {
     const reason = (error as { code?: string }).code ?? error.message;
     if (this.controller === undefined) {
-      this.finish({ kind: 'ended', outcome: { kind: 'notSent', reason } });
+      this.settleWith({ kind: 'ended', outcome: { kind: 'notSent', reason } });
       return;
     }
-    // A refusal says in its head that nothing ran; the rest of its body adds nothing.
+    // The head of a refusal states that the request was not executed; its body is not needed.
     if (this.head?.isNotExecuted === true) {
-      this.finish({ kind: 'ended', outcome: { kind: 'refused', status: this.head.status } });
+      this.settleWith({ kind: 'ended', outcome: { kind: 'refused', status: this.head.status } });
       return;
     }
-    const kind = this.isPassedOn ? 'brokeOff' : 'lost';
-    this.finish({ kind: 'ended', outcome: { kind, reason } });
+    const kind = this.isForwarding ? 'brokeOff' : 'lost';
+    this.settleWith({ kind: 'ended', outcome: { kind, reason } });
   }
 
-  private heard(): void {
-    this.heardAtMs = performance.now();
-    this.watch?.heard();
-    if (!this.isToldSilent) return;
-    this.tellSilence(false);
-    this.watch?.resume();
+  private noteReceived(): void {
+    this.lastReceivedAtMs = performance.now();
+    this.watchdog?.reset();
+    if (!this.isReportedSilent) return;
+    this.reportSilence(false);
+    this.watchdog?.resume();
   }
 
-  private tellSilence(isSilent: boolean): void {
-    this.isToldSilent = isSilent;
+  private reportSilence(isSilent: boolean): void {
+    this.isReportedSilent = isSilent;
     this.receiver.onSilence?.(isSilent);
   }
 
-  private keep(chunk: Buffer): void {
-    this.keptBytes += chunk.length;
-    if (this.keptBytes <= MAX_FAILURE_BYTES) this.kept.push(Buffer.from(chunk));
+  private appendErrorBody(chunk: Buffer): void {
+    this.errorBodyBytes += chunk.length;
+    if (this.errorBodyBytes <= MAX_ERROR_BODY_BYTES) this.errorBody.push(Buffer.from(chunk));
   }
 
-  private finish(result: SendResult): void {
-    this.watch?.stop();
+  private settleWith(result: SendResult): void {
+    this.watchdog?.stop();
     this.settle(result);
   }
 
-  /** The endpoint no longer has the request. */
-  lose(reason: string): void {
-    this.giveUp(reason, {});
+  /** Fails the send because the endpoint no longer has the request. */
+  fail(reason: string): void {
+    this.failSend(reason, {});
   }
 
-  private silent(limitMs: number): void {
-    this.giveUp(`silent for ${limitMs} ms`, { isSilence: true });
+  private failAsSilent(limitMs: number): void {
+    this.failSend(`nothing received for ${limitMs} ms`, { isSilence: true });
   }
 
-  /** Whoever goes on elsewhere relies on the connection being closed by then. */
-  private giveUp(reason: string, cause: { readonly isSilence?: boolean }): void {
-    const kind = this.isPassedOn ? 'brokeOff' : 'lost';
+  /**
+   * Fails the send and closes its connection, as the request may continue at another endpoint
+   * afterwards.
+   */
+  private failSend(reason: string, cause: { readonly isSilence?: boolean }): void {
+    const kind = this.isForwarding ? 'brokeOff' : 'lost';
     const outcome: SendOutcome =
       this.controller === undefined ? { kind: 'notSent', reason } : { kind, reason, ...cause };
-    this.finish({ kind: 'ended', outcome });
-    this.abandon(reason);
+    this.settleWith({ kind: 'ended', outcome });
+    this.abort(reason);
   }
 
-  private abandon(reason: string): void {
+  private abort(reason: string): void {
     this.isStopped = true;
     this.controller?.abort(new Error(reason));
   }
--- a/packages/forwarding/src/event-framer.ts
+++ b/packages/forwarding/src/event-framer.ts
@@ -1,31 +1,32 @@
 /**
- * Splits a stream of server-sent events into whole events, so that a stream that breaks off in
- * the middle of one can go on elsewhere.
+ * Splits a stream of server-sent events into whole events, so that a stream that is truncated in
+ * the middle of an event can continue at another endpoint.
  */
 
 const LINE_FEED = 0x0a;
 const CARRIAGE_RETURN = 0x0d;
 
-/** One whole event. */
+/** One complete server-sent event. */
 export interface StreamEvent {
-  /** Bytes as received, with the blank line that ends the event. */
+  /** Bytes as received, including the blank line that ends the event. */
   readonly bytes: Buffer;
-  /** Its id; undefined where it has none. */
+  /** Value of its `id` field; undefined if it has none. */
   readonly id: string | undefined;
 }
 
-/** Takes bytes and gives whole events. */
+/** Incremental parser that returns whole events. */
 export class EventFramer {
-  private rest: Buffer = Buffer.alloc(0);
+  private partialEvent: Buffer = Buffer.alloc(0);
 
-  /** Bytes of an event that is not whole yet. */
+  /** Number of buffered bytes of an incomplete event. */
   get pendingBytes(): number {
-    return this.rest.length;
+    return this.partialEvent.length;
   }
 
-  /** Takes more bytes; gives the events that became whole. */
-  take(chunk: Buffer): StreamEvent[] {
-    const bytes = this.rest.length === 0 ? chunk : Buffer.concat([this.rest, chunk]);
+  /** Adds bytes; returns the events that they complete. */
+  push(chunk: Buffer): StreamEvent[] {
+    const bytes =
+      this.partialEvent.length === 0 ? chunk : Buffer.concat([this.partialEvent, chunk]);
     const events: StreamEvent[] = [];
     let start = 0;
     for (;;) {
@@ -35,12 +36,15 @@
       events.push({ bytes: event, id: fieldOf(event, 'id') });
       start = end;
     }
-    this.rest = bytes.subarray(start);
+    this.partialEvent = bytes.subarray(start);
     return events;
   }
 }
 
-/** Offset behind the blank line that ends the event at `start`; -1 where it is not there yet. */
+/**
+ * Returns the offset after the blank line that ends the event at `start`; -1 if it is not received
+ * yet.
+ */
 function endOfEvent(bytes: Buffer, start: number): number {
   let lineStart = start;
   for (;;) {
@@ -53,7 +57,7 @@
   }
 }
 
-/** Value of the first line with this field name. */
+/** Returns the value of the first line with this field name. */
 function fieldOf(event: Buffer, name: string): string | undefined {
   for (const line of event.toString('latin1').split('\n')) {
     if (line.startsWith(`${name}:`)) return line.slice(name.length + 1).trim();
@@ -61,7 +65,7 @@
   return undefined;
 }
 
-/** The data of an event: the values of its data lines, joined by line feeds. */
+/** Returns the data of an event: the values of its data lines, joined by line feeds. */
 export function dataOf(event: StreamEvent): string {
   const values: string[] = [];
   for (const line of event.bytes.toString('utf8').split('\n')) {
--- a/packages/forwarding/src/forward-log.ts
+++ b/packages/forwarding/src/forward-log.ts
@@ -1,12 +1,12 @@
 /**
- * Log lines of one request: one for each decision, with what decided it.
+ * Log records of one forwarded request: one for each decision, with the values that it depended on.
  */
 import type { Logger } from '@shedline/logger';
 import type { ChosenEndpoint } from './endpoint-queue.js';
 import type { SendResult } from './endpoint-sender.js';
 import type { ForwardEnd, ForwardTask } from './forward-task.js';
 
-/** How a request went, for its last line. */
+/** Figures of a finished request, for its last log record. */
 export interface ForwardSummary {
   readonly sends: number;
   readonly tookMs: number;
@@ -14,7 +14,7 @@
   readonly firstPartMs: number | undefined;
 }
 
-/** Writes the lines of one request. */
+/** Writes the log records of one request. */
 export class ForwardLog {
   private readonly logger: Logger;
   private readonly task: ForwardTask;
@@ -24,7 +24,7 @@
     this.task = task;
   }
 
-  /** It goes out to an endpoint. */
+  /** Logs that the request is sent to an endpoint. */
   sent(
     endpoint: ChosenEndpoint,
     details: {
@@ -35,7 +35,7 @@
   ): void {
     const { resumeAfterEventId, ...numbers } = details;
     this.logger.info('request sent', {
-      ...this.about(endpoint),
+      ...this.endpointFields(endpoint),
       version: this.task.version,
       load: endpoint.load,
       ...numbers,
@@ -43,13 +43,16 @@
     });
   }
 
-  /** Its endpoint says nothing, or something again. */
-  silence(endpoint: ChosenEndpoint, isSilent: boolean, hasBegun: boolean): void {
-    const message = isSilent ? 'endpoint is silent' : 'endpoint is heard again';
-    this.logger.info(message, { ...this.about(endpoint), hasBegun });
+  /** Logs that the endpoint became unresponsive or responds again. */
+  silenceChanged(endpoint: ChosenEndpoint, isSilent: boolean, hasBegun: boolean): void {
+    const message = isSilent ? 'endpoint is unresponsive' : 'endpoint is responsive again';
+    this.logger.info(message, { ...this.endpointFields(endpoint), hasBegun });
   }
 
-  /** A send brought no whole answer; `content` is the same for all that ask the same. */
+  /**
+   * Logs that a send brought no complete response; `content` is equal for requests of equal
+   * content.
+   */
   sendEnded(
     endpoint: ChosenEndpoint,
     result: SendResult,
@@ -57,17 +60,17 @@
   ): void {
     const detail = result.kind === 'ended' ? result.outcome : undefined;
     const reason = detail !== undefined && 'reason' in detail ? detail.reason : undefined;
-    this.logger.info('send ended without an answer', {
-      ...this.about(endpoint),
+    this.logger.info('send ended without a complete response', {
+      ...this.endpointFields(endpoint),
       outcome: detail?.kind ?? result.kind,
       ...details,
       ...(reason === undefined ? {} : { reason }),
     });
   }
 
-  /** Its content has ended endpoints: it is not sent. */
-  held(content: string, crashes: number, retryAfterMs: number): void {
-    this.logger.info('request held back', {
+  /** Logs that the request is not sent because its content crashes endpoints. */
+  quarantined(content: string, crashes: number, retryAfterMs: number): void {
+    this.logger.info('request refused: its content is quarantined', {
       step: 'hold',
       request: this.task.request.requestId,
       content,
@@ -76,7 +79,7 @@
     });
   }
 
-  /** It is over. */
+  /** Logs that the request ended. */
   ended(outcome: ForwardEnd, { sends, tookMs, waitedMs, firstPartMs }: ForwardSummary): void {
     const { request, route, version } = this.task;
     this.logger.info('request ended', {
@@ -92,7 +95,7 @@
     });
   }
 
-  private about({ endpointId, address }: ChosenEndpoint): Record<string, string> {
+  private endpointFields({ endpointId, address }: ChosenEndpoint): Record<string, string> {
     const { requestId } = this.task.request;
     return { step: 'forward', request: requestId, endpoint: endpointId, peer: address };
   }
--- a/packages/forwarding/src/forward-task.ts
+++ b/packages/forwarding/src/forward-task.ts
@@ -1,5 +1,5 @@
 /**
- * A request to forward, and what its forwarding needs of the rest of the entry.
+ * A request to forward, and the interfaces that forwarding needs from the rest of the entry.
  */
 import type { Route } from '@shedline/fleet';
 import type { Logger } from '@shedline/logger';
@@ -8,37 +8,46 @@
 import type { RequestSender, SendResult } from './endpoint-sender.js';
 import type { CallerRequest, EndpointProtocol, RawHeaders } from './protocol.js';
 
-/** Knows the endpoints and how they do. */
+/** Chooses endpoints, and is notified of the progress of sends to track their load and health. */
 export interface EndpointChooser extends EndpointFinder {
-  /** A send has ended; `firstPartMs` is the time to the first part of an answer that went well. */
+  /**
+   * Notes that a send ended; `firstPartMs` is the time to the first part of its response, if there
+   * was one.
+   */
   ended(endpointId: string, result: SendResult, firstPartMs: number | undefined): void;
-  /** The answer to a send has begun. */
+  /** Notes that the response to a send has begun. */
   answers(endpointId: string): void;
-  /** Whether a request at the endpoint may be waiting there for its turn. */
+  /** Whether a request at the endpoint may be queued there. */
   mayBeWaiting(endpointId: string): boolean;
 }
 
-/** Where the answer goes. */
+/** Receives the response for the caller. */
 export interface ResponseSink {
-  /** `endsWithConnection`: without length or chunks, as {@link EndpointHead} says. */
+  /**
+   * Writes the head. `endsWithConnection`: the body has neither a length nor chunks; see {@link
+   * EndpointHead}.
+   */
   head(
     status: number,
     headers: RawHeaders,
     options?: { readonly endsWithConnection?: boolean },
   ): void;
-  /** False: wait for {@link onDrain}. */
+  /** Writes a part of the body. Returns false if the writer has to wait for {@link onDrain}. */
   write(bytes: Buffer): boolean;
   onDrain(listener: () => void): void;
   end(): void;
-  /** Breaks the connection: what went out must not look complete. */
+  /** Closes the connection so that the truncated response does not look complete. */
   cut(): void;
-  /** An answer of shedline's own. */
+  /** Sends an error response of shedline itself. */
   refuse(status: number, options: { readonly retryAfterMs?: number }): void;
-  /** Called once if the caller goes away before the answer is complete, or has gone already. */
+  /**
+   * Registers a listener, called once if the caller disconnects before the response is complete or
+   * already has.
+   */
   onGone(listener: () => void): void;
 }
 
-/** How a request ended, for counters. */
+/** How a request ended, for logs and counters. */
 export type ForwardEnd = 'complete' | 'refused' | 'failed' | 'passedOn' | 'cut' | 'callerGone';
 
 /** Options of {@link Forwarder}. */
@@ -46,7 +55,7 @@
   readonly sender: RequestSender;
   readonly protocol: EndpointProtocol;
   readonly chooser: EndpointChooser;
-  /** Left out: nothing is held back. */
+  /** Quarantine of request content; none if omitted. */
   readonly guard?: ContentGuard;
   readonly logger: Logger;
   readonly nowMs: () => number;
@@ -57,15 +66,18 @@
   readonly request: CallerRequest;
   readonly route: Route;
   readonly service: string;
-  /** 0 is the most urgent; that of the workspace goes before that of the route. */
+  /**
+   * Priority, 0 is the most urgent; the rank of the workspace takes precedence over that of the
+   * route.
+   */
   readonly rank: number;
   /** Version of the configuration that chose the route, for the log. */
   readonly version: number;
-  /** End of the time that the request has, on the clock of `nowMs`. */
+  /** Deadline of the request, on the clock of `nowMs`. */
   readonly deadlineMs: number;
-  /** When this attempt of the caller came, on the same clock. */
+  /** When this attempt of the caller arrived, on the same clock. */
   readonly arrivedAtMs: number;
-  /** When the caller first asked, as far as it shows, on the same clock. */
+  /** When the caller's first attempt was made, as far as known, on the same clock. */
   readonly firstAskedAtMs: number;
   readonly sink: ResponseSink;
 }
--- a/packages/forwarding/src/forwarded-request.ts
+++ b/packages/forwarding/src/forwarded-request.ts
@@ -1,7 +1,8 @@
 /**
- * One request on its way through its plan: waits for an endpoint, sends, passes the answer on.
+ * Executes the plan of one request: waits for an endpoint, sends the request and forwards the
+ * response.
  */
-import type { EndpointQueue, ChosenEndpoint, QueuePlace } from './endpoint-queue.js';
+import type { EndpointQueue, ChosenEndpoint, QueueTicket } from './endpoint-queue.js';
 import type { RunningSend, SendResult, SilenceRule } from './endpoint-sender.js';
 import { ForwardLog } from './forward-log.js';
 import type { ForwardEnd, ForwardTask, ForwarderOptions } from './forward-task.js';
@@ -11,19 +12,20 @@
 import type { PlanStep, SendOutcome } from './request-plan.js';
 
 /**
- * Silence of an endpoint, as a multiple of what callers count as late, after which a stream goes
- * on elsewhere. Callers abandon a stream after two seconds without an event.
+ * Time without received bytes after which a stream continues at another endpoint, as a multiple of
+ * the time that callers count as late. Callers abandon a stream after two seconds without an event.
  */
 const SILENCE_FACTOR = 2;
 const MIN_SILENCE_MS = 500;
 /**
- * Silence after which callers leave a stream: two seconds, four times the target or eight times the longest pause
- * between events, whichever is longest. Of the late requests of an overload that waited for their deadline of 5 s instead,
- * 504 were left by their callers after 2 s (one day of the shifted Registry).
+ * Minimum time without an event after which callers abandon a stream. The time is two seconds, four
+ * times the target or eight times the longest pause between events, whichever is longest. When late
+ * requests waited for their deadline of 5 s instead, 504 of them were abandoned after 2 s in one
+ * day of overload.
  */
-const LEAST_PATIENCE_MS = 2000;
+const MIN_CALLER_TIMEOUT_MS = 2000;
 
-/** Carries one request to its end. */
+/** Forwards one request until it ends. */
 export class ForwardedRequest {
   private readonly options: ForwarderOptions;
   private readonly queue: EndpointQueue;
@@ -32,17 +34,17 @@
   private readonly content: GuardedContent;
   private readonly log: ForwardLog;
   private readonly tried = new Set<string>();
-  private readonly beganMs: number;
-  private isGone = false;
-  private place: QueuePlace | undefined;
+  private readonly startedAtMs: number;
+  private isCallerGone = false;
+  private ticket: QueueTicket | undefined;
   private waitedMs = 0;
-  private headSent = false;
+  private isHeadSent = false;
   private running: RunningSend | undefined;
   private firstPartMs: number | undefined;
-  /** Whether the endpoint was chosen when the request was late already. */
+  /** Whether the request had passed its target when its endpoint was chosen. */
   private isForLate = false;
-  /** Whether the send under way counts at its endpoint. */
-  private holdsPlace = false;
+  /** Whether the send in progress is counted as occupying a slot of its endpoint. */
+  private holdsSlot = false;
   private pendingHead: EndpointHead | undefined;
 
   constructor(options: ForwarderOptions, queue: EndpointQueue, task: ForwardTask) {
@@ -50,7 +52,7 @@
     this.queue = queue;
     this.task = task;
     this.log = new ForwardLog(options.logger, task);
-    this.beganMs = options.nowMs();
+    this.startedAtMs = options.nowMs();
     const { route, request, deadlineMs } = task;
     this.content = new GuardedContent({ guard: options.guard, host: route.host, request });
     this.plan = new RequestPlan({
@@ -63,8 +65,8 @@
         : { resumeAfterEventId: request.resumeAfterEventId }),
     });
     task.sink.onGone(() => {
-      this.isGone = true;
-      this.place?.leave();
+      this.isCallerGone = true;
+      this.ticket?.leave();
       this.running?.stop();
     });
   }
@@ -72,99 +74,100 @@
   async run(): Promise<ForwardEnd> {
     let step = this.content.needsAdmission ? await this.firstStep() : this.plan.first();
     while (step.action === 'send') {
-      if (this.hasLeft()) return this.close('callerGone');
+      if (this.hasCallerLeft()) return this.close('callerGone');
       const endpoint = await this.findEndpoint();
-      if (this.hasLeft()) {
-        if (endpoint !== undefined) this.release(endpoint.endpointId, { kind: 'stopped' });
+      if (this.hasCallerLeft()) {
+        if (endpoint !== undefined) this.releaseSlot(endpoint.endpointId, { kind: 'stopped' });
         return this.close('callerGone');
       }
       if (endpoint === undefined) {
-        const roomInMs = this.queue.roomInMs(this.task.service);
-        step = this.plan.giveUp(this.options.nowMs(), roomInMs);
+        const nextSlotInMs = this.queue.nextSlotInMs(this.task.service);
+        step = this.plan.giveUp(this.options.nowMs(), nextSlotInMs);
         break;
       }
-      // News of its content may have come while it waited, or was sent to the endpoint before.
+      // Its content may have been quarantined while it waited or after its previous send.
       const { heldMs } = this.content;
       if (heldMs > 0) {
-        this.release(endpoint.endpointId, { kind: 'stopped' });
-        step = this.holdBack(heldMs);
+        this.releaseSlot(endpoint.endpointId, { kind: 'stopped' });
+        step = this.refuseQuarantined(heldMs);
         break;
       }
       const result = await this.sendTo(endpoint, step.resumeAfterEventId);
-      if (this.hasLeft()) return this.close('callerGone');
+      if (this.hasCallerLeft()) return this.close('callerGone');
       if (result.kind === 'complete') {
         this.task.sink.end();
         return this.close('complete');
       }
       if (result.kind === 'stopped') {
-        step = this.plan.timeUp();
+        step = this.plan.deadlineReached();
         break;
       }
-      step = this.plan.after(outcomeOf(result), this.options.nowMs());
-      if (step.action === 'passOn' && result.kind === 'failure') return this.passOn(result);
+      step = this.plan.afterSend(outcomeOf(result), this.options.nowMs());
+      if (step.action === 'forwardFailure' && result.kind === 'failure')
+        return this.forwardFailure(result);
     }
-    return this.hasLeft() ? this.close('callerGone') : this.finish(step);
+    return this.hasCallerLeft() ? this.close('callerGone') : this.finish(step);
   }
 
   private async firstStep(): Promise<PlanStep> {
     const heldMs = await this.content.admit();
-    return heldMs > 0 ? this.holdBack(heldMs) : this.plan.first();
+    return heldMs > 0 ? this.refuseQuarantined(heldMs) : this.plan.first();
   }
 
-  /** Where it has not been sent, its caller is told so at once, and when it may be tried again. */
-  private holdBack(forMs: number): PlanStep {
-    this.log.held(this.content.key, this.content.crashes, forMs);
-    return this.plan.giveUp(this.options.nowMs(), forMs);
+  /** If the request was not executed yet, its caller is told to retry after the quarantine. */
+  private refuseQuarantined(remainingMs: number): PlanStep {
+    this.log.quarantined(this.content.key, this.content.crashes, remainingMs);
+    return this.plan.giveUp(this.options.nowMs(), remainingMs);
   }
 
-  /** Whether the caller has left; asked anew after each wait. */
-  private hasLeft(): boolean {
-    return this.isGone;
+  /** Whether the caller has disconnected; checked again after each wait. */
+  private hasCallerLeft(): boolean {
+    return this.isCallerGone;
   }
 
-  /** Whether the send under way still counts; asked anew after each wait. */
-  private countsAtEndpoint(): boolean {
-    return this.holdsPlace;
+  /** Whether the send in progress still occupies a slot; checked again after each wait. */
+  private isHoldingSlot(): boolean {
+    return this.holdsSlot;
   }
 
-  /** Waits for its turn; undefined where the request cannot be served in its time. */
+  /** Waits in the queue; returns undefined if the request cannot be served in time. */
   private async findEndpoint(): Promise<ChosenEndpoint | undefined> {
     const { nowMs } = this.options;
     const { service, rank, route, request, deadlineMs, firstAskedAtMs } = this.task;
     const sinceMs = nowMs();
-    this.place = this.queue.enter({
+    this.ticket = this.queue.enter({
       service,
       tried: this.tried,
-      // Where every endpoint was tried, one that refused may have room by now.
+      // If every endpoint was tried, one that refused the request may have a free slot by now.
       mayRepeat: !this.plan.isInDoubt,
       rank,
       ...(request.workspace === undefined ? {} : { workspace: request.workspace }),
-      onTimeUntilMs: this.headSent
+      onTimeUntilMs: this.isHeadSent
         ? sinceMs + route.longestPauseMs
         : firstAskedAtMs + route.targetMs,
       deadlineMs,
-      ...this.beginBy(),
+      ...this.streamStartLimit(),
       ...(request.sharedPrompt === undefined ? {} : { prompt: request.sharedPrompt }),
     });
-    const endpoint = await this.place.endpoint;
-    this.place = undefined;
+    const endpoint = await this.ticket.endpoint;
+    this.ticket = undefined;
     this.isForLate = endpoint?.isForLate === true;
     this.waitedMs += nowMs() - sinceMs;
     return endpoint;
   }
 
-  /** Callers leave a stream that does not begin, or go on, for some time, long before their deadline. */
-  private beginBy(): { readonly beginByMs?: number } {
+  /** Callers abandon a stream without events long before their deadline, at its start or later. */
+  private streamStartLimit(): { readonly beginByMs?: number } {
     const { route, arrivedAtMs } = this.task;
     if (route.kind !== 'stream') return {};
     const { targetMs, longestPauseMs } = route;
-    const patienceMs = Math.max(LEAST_PATIENCE_MS, 4 * targetMs, 8 * longestPauseMs);
-    const sinceMs = this.headSent ? this.options.nowMs() : arrivedAtMs;
-    return { beginByMs: sinceMs + patienceMs };
+    const callerTimeoutMs = Math.max(MIN_CALLER_TIMEOUT_MS, 4 * targetMs, 8 * longestPauseMs);
+    const sinceMs = this.isHeadSent ? this.options.nowMs() : arrivedAtMs;
+    return { beginByMs: sinceMs + callerTimeoutMs };
   }
 
-  /** A place that was taken at an endpoint is free again. */
-  private release(endpointId: string, result: SendResult, runMs?: number): void {
+  /** Releases the slot of an endpoint that the request occupied. */
+  private releaseSlot(endpointId: string, result: SendResult, runMs?: number): void {
     this.options.chooser.ended(endpointId, result, this.firstPartMs);
     const { isForLate } = this;
     this.queue.ended(this.task.service, { runMs, leadMs: this.firstPartMs, isForLate });
@@ -172,25 +175,26 @@
   }
 
   /**
-   * Silence means that the connection or the endpoint is gone, unless the request waits there for
-   * its turn: its place is free for others, though the caller may still get an answer. Otherwise what was
-   * under way when connections went silent would make idle endpoints look full until its deadline.
+   * Releases the slot of an endpoint that became unresponsive, unless the request may be queued
+   * there: the connection or the endpoint has probably failed, though the response may still
+   * arrive. If the slot stayed occupied, unresponsive connections would make idle endpoints look
+   * full until the deadlines of their requests.
    */
-  private vacate(endpointId: string): void {
+  private releaseSlotOnSilence(endpointId: string): void {
     const { hasBegun } = this;
     if (!hasBegun && this.options.chooser.mayBeWaiting(endpointId)) return;
-    this.holdsPlace = false;
+    this.holdsSlot = false;
     const kind = hasBegun ? 'brokeOff' : 'lost';
-    this.release(endpointId, {
+    this.releaseSlot(endpointId, {
       kind: 'ended',
       outcome: { kind, reason: 'silent', isSilence: true },
     });
   }
 
-  /** The endpoint goes on with a request that had given its place back. */
-  private occupy(endpointId: string): void {
-    if (this.holdsPlace) return;
-    this.holdsPlace = true;
+  /** Occupies a slot again when the endpoint continues a request whose slot was released. */
+  private reclaimSlot(endpointId: string): void {
+    if (this.holdsSlot) return;
+    this.holdsSlot = true;
     this.options.chooser.began(endpointId);
   }
 
@@ -202,7 +206,7 @@
     const { request } = this.task;
     const { endpointId, address } = endpoint;
     this.tried.add(endpointId);
-    this.holdsPlace = true;
+    this.holdsSlot = true;
     const knownCrashes = this.content.crashes;
     const timeLeftMs = this.plan.timeLeftMs(nowMs());
     this.log.sent(endpoint, { send: this.tried.size, timeLeftMs, resumeAfterEventId });
@@ -222,23 +226,24 @@
       {
         onHead: (head) => {
           this.pendingHead = head;
-          // Only an event stream can still be replaced by another send without its head.
+          // The head of an event stream is deferred, as another send may still replace the stream
+          // before its start.
           if (!head.isEventStream) this.sendHead();
         },
         onPart: (bytes, event) => {
           if (this.firstPartMs === undefined) this.options.chooser.answers(endpointId);
           this.firstPartMs ??= nowMs() - sentAtMs;
-          return this.pass(bytes, event?.id);
+          return this.forwardPart(bytes, event?.id);
         },
         onSilence: (isSilent) => {
-          this.log.silence(endpoint, isSilent, this.hasBegun);
-          if (isSilent) this.vacate(endpointId);
-          else this.occupy(endpointId);
+          this.log.silenceChanged(endpoint, isSilent, this.hasBegun);
+          if (isSilent) this.releaseSlotOnSilence(endpointId);
+          else this.reclaimSlot(endpointId);
         },
       },
     );
     this.running = running;
-    if (this.isGone) running.stop();
+    if (this.isCallerGone) running.stop();
     const timer = setTimeout(() => {
       running.stop();
     }, timeLeftMs);
@@ -247,7 +252,7 @@
     this.running = undefined;
     if (result.kind === 'complete') this.sendHead();
     const runMs = result.kind === 'complete' ? nowMs() - sentAtMs : undefined;
-    if (this.countsAtEndpoint()) this.release(endpointId, result, runMs);
+    if (this.isHoldingSlot()) this.releaseSlot(endpointId, result, runMs);
     const { hasBegun } = this;
     if (result.kind !== 'complete') {
       this.log.sendEnded(endpoint, result, { hasBegun, content: this.content.key });
@@ -257,39 +262,42 @@
   }
 
   /**
-   * Only a stream that may go on elsewhere is given up because its endpoint is silent. Other
-   * answers than streams come at once at the end: silence says nothing of them.
+   * Returns the silence rule of the next send. An unresponsive endpoint is given up only for a
+   * stream that may continue elsewhere. Responses other than streams arrive whole at the end, so
+   * silence before says nothing.
    */
   private silenceRule(): { readonly silence?: SilenceRule } {
     const { kind, targetMs, longestPauseMs } = this.task.route;
     if (kind !== 'stream') return {};
     const lateMs = Math.max(targetMs, longestPauseMs);
     const limitMs = Math.max(MIN_SILENCE_MS, SILENCE_FACTOR * lateMs);
-    return { silence: { limitMs, then: this.plan.mayGoOnElsewhere ? 'giveUp' : 'tell' } };
+    return { silence: { limitMs, then: this.plan.mayContinueElsewhere ? 'giveUp' : 'notify' } };
   }
 
-  /** A stream that goes on elsewhere keeps the head of its first endpoint. */
+  /**
+   * Sends the head once: a stream that continues elsewhere keeps the head of its first endpoint.
+   */
   private sendHead(): void {
-    if (this.headSent || this.pendingHead === undefined) return;
-    this.headSent = true;
+    if (this.isHeadSent || this.pendingHead === undefined) return;
+    this.isHeadSent = true;
     const { status, headers, endsWithConnection } = this.pendingHead;
     this.task.sink.head(status, headers, { endsWithConnection });
-    this.plan.passedOn(undefined);
+    this.plan.noteForwarded(undefined);
   }
 
-  private pass(bytes: Buffer, eventId: string | undefined): boolean {
+  private forwardPart(bytes: Buffer, eventId: string | undefined): boolean {
     this.sendHead();
-    this.plan.passedOn(eventId);
-    const goesOn = this.task.sink.write(bytes);
-    if (!goesOn) {
+    this.plan.noteForwarded(eventId);
+    const mayContinue = this.task.sink.write(bytes);
+    if (!mayContinue) {
       this.task.sink.onDrain(() => {
         this.running?.resume();
       });
     }
-    return goesOn;
+    return mayContinue;
   }
 
-  private passOn(result: SendResult & { kind: 'failure' }): ForwardEnd {
+  private forwardFailure(result: SendResult & { kind: 'failure' }): ForwardEnd {
     const { sink } = this.task;
     const { status, headers, endsWithConnection } = result.head;
     sink.head(status, headers, { endsWithConnection });
@@ -304,7 +312,7 @@
       sink.refuse(503, { retryAfterMs: step.retryAfterMs });
       return this.close('refused');
     }
-    if (step.action === 'cut') {
+    if (step.action === 'abort') {
       sink.cut();
       return this.close('cut');
     }
@@ -314,13 +322,13 @@
   }
 
   private close(end: ForwardEnd): ForwardEnd {
-    const tookMs = this.options.nowMs() - this.beganMs;
+    const tookMs = this.options.nowMs() - this.startedAtMs;
     const { waitedMs, firstPartMs } = this;
     this.log.ended(end, { sends: this.tried.size, tookMs, waitedMs, firstPartMs });
     return end;
   }
 
-  /** Whether the send under way has brought anything. */
+  /** Whether the send in progress has brought any part of a response. */
   private get hasBegun(): boolean {
     return this.firstPartMs !== undefined;
   }
--- a/packages/forwarding/src/forwarder.test.ts
+++ b/packages/forwarding/src/forwarder.test.ts
@@ -22,72 +22,72 @@
   longestPauseMs: 200,
 };
 
-/** A caller that leaves when it is told to, or has left already. */
+/** A caller that disconnects on demand, or is disconnected from the start. */
 class FakeSink implements ResponseSink {
-  private readonly hasLeft: boolean;
+  private readonly isDisconnected: boolean;
   private listener: () => void = () => undefined;
 
-  constructor(hasLeft: boolean) {
-    this.hasLeft = hasLeft;
+  constructor(isDisconnected: boolean) {
+    this.isDisconnected = isDisconnected;
   }
 
   head(): void {
-    throw new Error('no answer is expected');
+    throw new Error('no response is expected');
   }
   write(): boolean {
     return true;
   }
   onDrain(): void {
-    throw new Error('no answer is expected');
+    throw new Error('no response is expected');
   }
   end(): void {
-    throw new Error('no answer is expected');
+    throw new Error('no response is expected');
   }
   cut(): void {
-    throw new Error('no answer is expected');
+    throw new Error('no response is expected');
   }
   refuse(): void {
-    throw new Error('nobody is there to be refused');
+    throw new Error('no refusal is expected');
   }
   onGone(listener: () => void): void {
-    if (this.hasLeft) listener();
+    if (this.isDisconnected) listener();
     else this.listener = listener;
   }
-  leave(): void {
+  disconnect(): void {
     this.listener();
   }
 }
 
-/** One endpoint with as many free places as it is given. */
+/** One endpoint with a given number of free slots. */
 class OneEndpoint implements EndpointChooser {
   readonly knownWithinMs = 1000;
-  places: number;
+  slots: number;
 
-  constructor(places: number) {
-    this.places = places;
+  constructor(slots: number) {
+    this.slots = slots;
   }
 
   choose(): ChosenEndpoint | undefined {
-    return this.places > 0 ? { endpointId: 'e', address: 'a:1', load: 0 } : undefined;
+    return this.slots > 0 ? { endpointId: 'e', address: 'a:1', load: 0 } : undefined;
   }
   capacity(): { slots: number; sharers: number } {
     return { slots: 1, sharers: 1 };
   }
   began(): void {
-    this.places -= 1;
+    this.slots -= 1;
   }
   ended(): void {
-    this.places += 1;
+    this.slots += 1;
   }
   answers(): void {
-    // Nothing depends on it here.
+    // Not used by these tests.
   }
   mayBeWaiting(): boolean {
     return false;
   }
 }
 
-/** Counts sends; none of them ends before it is stopped. */
+/** Counts sends; each send is in progress until it is stopped. */
 class CountingSender implements RequestSender {
   sends = 0;
 
@@ -106,7 +106,7 @@
 const PROTOCOL: EndpointProtocol = {
   sendHeaders: () => [],
   readHead: () => {
-    throw new Error('no answer is expected');
+    throw new Error('no response is expected');
   },
 };
 
@@ -116,7 +116,7 @@
 ): {
   readonly sender: CountingSender;
   readonly end: Promise<ForwardEnd>;
-  readonly waiting: () => number;
+  readonly waitingCount: () => number;
 } {
   const sender = new CountingSender();
   const forwarder = new Forwarder({
@@ -137,38 +137,38 @@
     firstAskedAtMs: 0,
     sink,
   });
-  return { sender, end, waiting: () => forwarder.waitingCount };
+  return { sender, end, waitingCount: () => forwarder.waitingCount };
 }
 
-describe('a caller that leaves', () => {
-  test(title('before its request is looked at reaches no endpoint'), async (t) => {
+describe('a caller that disconnects', () => {
+  test(title('before its request is queued causes no send'), async (t) => {
     const chooser = new OneEndpoint(1);
     const { sender, end } = forward(new FakeSink(true), chooser);
     t.is(await end, 'callerGone');
     t.is(sender.sends, 0);
-    t.is(chooser.places, 1);
+    t.is(chooser.slots, 1);
   });
 
-  test(title('while it waits for a place leaves the queue'), async (t) => {
+  test(title('while its request waits for a slot is removed from the queue'), async (t) => {
     const chooser = new OneEndpoint(0);
     const sink = new FakeSink(false);
-    const { sender, end, waiting } = forward(sink, chooser);
-    t.is(waiting(), 1);
-    sink.leave();
+    const { sender, end, waitingCount } = forward(sink, chooser);
+    t.is(waitingCount(), 1);
+    sink.disconnect();
     t.is(await end, 'callerGone');
-    t.is(waiting(), 0);
+    t.is(waitingCount(), 0);
     t.is(sender.sends, 0);
   });
 
-  test(title('while an endpoint is at work stops it and frees its place'), async (t) => {
+  test(title('while an endpoint executes its request stops it and frees its slot'), async (t) => {
     const chooser = new OneEndpoint(1);
     const sink = new FakeSink(false);
     const { sender, end } = forward(sink, chooser);
     await Promise.resolve();
     await new Promise((resolve) => setImmediate(resolve));
     t.is(sender.sends, 1);
-    sink.leave();
+    sink.disconnect();
     t.is(await end, 'callerGone');
-    t.is(chooser.places, 1);
+    t.is(chooser.slots, 1);
   });
 });
--- a/packages/forwarding/src/forwarder.ts
+++ b/packages/forwarding/src/forwarder.ts
@@ -1,5 +1,5 @@
 /**
- * Forwards the requests of one entry; they share a queue for endpoints.
+ * Forwards the requests of one entry, which share one queue for endpoints.
  */
 import { EndpointQueue } from './endpoint-queue.js';
 import type { ForwardEnd, ForwardTask, ForwarderOptions } from './forward-task.js';
@@ -15,12 +15,12 @@
     this.queue = new EndpointQueue({ finder: options.chooser, nowMs: options.nowMs });
   }
 
-  /** Requests that wait for an endpoint. */
+  /** Number of requests that wait for an endpoint. */
   get waitingCount(): number {
     return this.queue.length;
   }
 
-  /** Carries a request to its end. */
+  /** Forwards a request; resolves when it has ended. */
   run(task: ForwardTask): Promise<ForwardEnd> {
     return new ForwardedRequest(this.options, this.queue, task).run();
   }
--- a/packages/forwarding/src/guarded-content.ts
+++ b/packages/forwarding/src/guarded-content.ts
@@ -1,8 +1,9 @@
 /**
- * The content of one request on its way past the guard. Its key is worked out only where something is
- * blamed or broke off: that reads the whole body, 7.5 us for 1.5 KB and 28 us for 15 KB.
+ * Checks the content of one request with the content guard. The content key is computed only if
+ * some content is suspected or a send broke, as it hashes the whole body: 7.5 us for 1.5 KB and 28
+ * us for 15 KB.
  */
-import { NO_GUARD } from './content-guard.js';
+import { NOOP_GUARD } from './content-guard.js';
 import type { BrokenSend, ContentGuard } from './content-guard.js';
 import type { ChosenEndpoint } from './endpoint-queue.js';
 import type { SendResult } from './endpoint-sender.js';
@@ -11,61 +12,66 @@
 
 /** Options of {@link GuardedContent}. */
 export interface GuardedContentOptions {
-  /** Left out: nothing is held back. */
+  /** Quarantine of request content; none if undefined. */
   readonly guard: ContentGuard | undefined;
   readonly host: string;
   readonly request: CallerRequest;
 }
 
-/** What one request asks for, and whether it may be sent. */
+/** The content of one request and its state at the guard. */
 export class GuardedContent {
   private readonly guard: ContentGuard;
   private readonly host: string;
   private readonly request: CallerRequest;
-  private knownKey: string | undefined;
-  /** Sends of this request that broke off. */
+  private cachedKey: string | undefined;
+  /** Number of sends of this request whose connection broke. */
   private brokenSends = 0;
-  /** Whether the fleet lets this request try a content that is held back. */
-  private isTrial = false;
+  /** Whether the fleet admitted this request as the trial request of quarantined content. */
+  private isTrialRequest = false;
 
   constructor({ guard, host, request }: GuardedContentOptions) {
-    this.guard = guard ?? NO_GUARD;
+    this.guard = guard ?? NOOP_GUARD;
     this.host = host;
     this.request = request;
   }
 
-  /** Names what is asked for. */
+  /** Key of the content; see {@link contentKeyOf}. */
   get key(): string {
-    this.knownKey ??= contentKeyOf(this.host, this.request);
-    return this.knownKey;
+    this.cachedKey ??= contentKeyOf(this.host, this.request);
+    return this.cachedKey;
   }
 
-  /** Whether {@link admit} has to be asked; not while nothing is blamed for anything. */
+  /** Whether {@link admit} has to be called; false while no content is suspected. */
   get needsAdmission(): boolean {
     return !this.guard.isIdle;
   }
 
-  /** Ends of endpoints that a send of it is begun in knowledge of. */
+  /** Number of endpoint crashes attributed to the content, as known when it is sent. */
   get crashes(): number {
     const known = this.guard.isIdle ? 0 : this.guard.crashesOf(this.key);
     return Math.max(known, this.brokenSends);
   }
 
-  /** Asks whether it may be sent; gives the time for which it is held back, 0 where it is not. */
+  /**
+   * Asks whether the content may be sent; returns its remaining quarantine time, 0 if it may be
+   * sent.
+   */
   async admit(): Promise<number> {
-    const isHeldBack = this.guard.heldMs(this.key) > 0;
+    const isQuarantined = this.guard.heldMs(this.key) > 0;
     const admission = await this.guard.admit(this.key);
     if (!admission.isAdmitted) return admission.retryAfterMs;
-    this.isTrial = isHeldBack;
+    this.isTrialRequest = isQuarantined;
     return 0;
   }
 
-  /** Time for which it is held back by now: news may have come since it was admitted. */
+  /**
+   * Current remaining quarantine time: the content may have been quarantined since it was admitted.
+   */
   get heldMs(): number {
-    return this.guard.isIdle || this.isTrial ? 0 : this.guard.heldMs(this.key);
+    return this.guard.isIdle || this.isTrialRequest ? 0 : this.guard.heldMs(this.key);
   }
 
-  /** Tells the guard what the end of a send says. */
+  /** Reports the end of a send to the guard. */
   sendEnded(
     { endpointId, address }: ChosenEndpoint,
     result: SendResult,
@@ -78,12 +84,15 @@
       this.guard.brokeOff({ endpointId, address, requestId, contentKey, ...send });
       return;
     }
-    const hasRun = result.kind === 'complete' || result.kind === 'failure';
-    if (hasRun && !this.guard.isIdle) this.guard.survived(this.key);
+    const isExecuted = result.kind === 'complete' || result.kind === 'failure';
+    if (isExecuted && !this.guard.isIdle) this.guard.survived(this.key);
   }
 }
 
-/** Whether the connection broke: silence says nothing of what its endpoint does. */
+/**
+ * Whether the connection broke. An unresponsive endpoint doesn't count: it may still execute the
+ * request.
+ */
 export function isBroken(result: SendResult): boolean {
   if (result.kind !== 'ended') return false;
   const { outcome } = result;
--- a/packages/forwarding/src/index.ts
+++ b/packages/forwarding/src/index.ts
@@ -1,5 +1,6 @@
 /**
- * Forwarding of requests to endpoints: decisions, sends, and the passing on of answers.
+ * Forwarding of requests to endpoints: queueing, retry decisions, sends, and forwarding of
+ * responses.
  */
 export * from './content-guard.js';
 export * from './endpoint-sender.js';
--- a/packages/forwarding/src/listening-probe.ts
+++ b/packages/forwarding/src/listening-probe.ts
@@ -1,14 +1,18 @@
 /**
- * Finds out whether anybody listens at an address. A connection that breaks says little: it may have been
- * reset alone. A port that is closed right after says that the process behind it has ended.
+ * Checks whether a process listens at an address. A broken connection alone does not show that its
+ * endpoint crashed, as it may have been reset on its own. If the port is closed right after, the
+ * process has ended.
  */
 import { connect } from 'node:net';
 import { CONNECT_TIMEOUT_MS } from './endpoint-connections.js';
 
-/** What a look at an address shows; `silent` where nothing answers, as without power or behind a cut. */
+/**
+ * State of an address; `silent` if nothing responds, as after a power loss or during a network
+ * partition.
+ */
 export type ListeningState = 'open' | 'closed' | 'silent';
 
-/** Looks whether anybody listens. */
+/** Checks whether a process listens at an address. */
 export interface ListeningProbe {
   look(address: string): Promise<ListeningState>;
 }
@@ -19,18 +23,18 @@
     const { hostname, port } = new URL(`http://${address}`);
     return new Promise((resolve) => {
       const socket = connect({ host: hostname, port: Number(port) });
-      const end = (state: ListeningState): void => {
+      const finish = (state: ListeningState): void => {
         socket.destroy();
         resolve(state);
       };
       socket.setTimeout(CONNECT_TIMEOUT_MS, () => {
-        end('silent');
+        finish('silent');
       });
       socket.once('connect', () => {
-        end('open');
+        finish('open');
       });
       socket.once('error', (error: NodeJS.ErrnoException) => {
-        end(error.code === 'ECONNREFUSED' ? 'closed' : 'silent');
+        finish(error.code === 'ECONNREFUSED' ? 'closed' : 'silent');
       });
     });
   }
--- a/packages/forwarding/src/protocol.ts
+++ b/packages/forwarding/src/protocol.ts
@@ -1,63 +1,64 @@
 /**
- * What the forwarder needs of the form in which endpoints are spoken to.
+ * Interface of the protocol between entries and endpoints, as far as the forwarder needs it.
  */
 import type { SharedPrompt } from '@shedline/types';
 
-/** Headers in the order and spelling of the wire: name, value, name, value, … */
+/** Headers in their order and spelling on the wire: name, value, name, value, … */
 export type RawHeaders = readonly string[];
 
-/** A request as its caller sent it. */
+/** A request as received from its caller. */
 export interface CallerRequest {
-  /** Names the request, from the caller. */
+  /** Id of the request, from the caller. */
   readonly requestId: string;
   readonly method: string;
   /** Path and query, unchanged. */
   readonly path: string;
-  /** Headers that concern the whole way, unchanged. */
+  /** End-to-end headers, unchanged. */
   readonly headers: RawHeaders;
   readonly body: Buffer;
-  /** Workspace whose key the caller showed; undefined where no key is asked for. */
+  /** Workspace whose API key the caller sent; undefined if no key is required. */
   readonly workspace?: string;
-  /** Event after which the caller wants the stream to go on. */
+  /** Id of the event after which the caller wants the stream to resume. */
   readonly resumeAfterEventId?: string;
-  /** Parts of its prompt as the caller lists them. */
+  /** List of the parts of its prompt, as sent by the caller. */
   readonly prompt?: string;
-  /** What its prompt has in common with other requests. */
+  /** Part of its prompt that other requests share. */
   readonly sharedPrompt?: SharedPrompt;
 }
 
-/** What one send adds to the request. */
+/** Values that one send adds to the request. */
 export interface SendTerms {
-  /** Id of the run of an endpoint that alone may take the request. */
+  /** Id of the only endpoint incarnation that may execute the request. */
   readonly endpointId: string;
-  /** Time that the endpoint may work; undefined where it is not bounded. */
+  /** Time limit of the execution; undefined if it has none. */
   readonly timeLeftMs: number | undefined;
-  /** Event after which the stream goes on; undefined from the start. */
+  /** Id of the event after which the stream resumes; undefined for the whole stream. */
   readonly resumeAfterEventId: string | undefined;
 }
 
-/** The head of an endpoint's answer. */
+/** The head of an endpoint's response. */
 export interface EndpointHead {
   readonly status: number;
-  /** Headers that concern the whole way. */
+  /** End-to-end headers. */
   readonly headers: RawHeaders;
-  /** Request that the answer names; undefined where it names none. */
+  /** Id of the request that the response belongs to; undefined if the response has none. */
   readonly requestId: string | undefined;
-  /** The endpoint says that it did not run the request. */
+  /** The endpoint states that it did not execute the request. */
   readonly isNotExecuted: boolean;
-  /** The answer carries the endpoint's signature. */
+  /** The response has the endpoint's signature. */
   readonly isSigned: boolean;
   readonly isEventStream: boolean;
   /**
-   * The body has neither a length nor chunks: it ends where its connection does, and nothing
-   * tells whether it was whole.
+   * The body has neither a length nor chunks: it ends with its connection, and cannot be checked
+   * for completeness.
    */
   readonly endsWithConnection: boolean;
 }
 
-/** The form in which endpoints are spoken to. */
+/** The protocol between entries and endpoints. */
 export interface EndpointProtocol {
-  /** Headers of a send. */
+  /** Returns the headers of a send. */
   sendHeaders(request: CallerRequest, terms: SendTerms): RawHeaders;
+  /** Interprets the status and headers of a response. */
   readHead(status: number, headers: RawHeaders): EndpointHead;
 }
--- a/packages/forwarding/src/request-plan.test.ts
+++ b/packages/forwarding/src/request-plan.test.ts
@@ -22,93 +22,96 @@
   deadlineMs: fc.constant(DEADLINE_MS),
 });
 
-const steps = fc.array(fc.record({ outcome, passesOn: fc.boolean(), takesMs: fc.nat(200) }), {
+const steps = fc.array(fc.record({ outcome, isForwarded: fc.boolean(), tookMs: fc.nat(200) }), {
   maxLength: 12,
 });
 
-function didNotRun(result: SendOutcome): boolean {
+function isNotExecuted(result: SendOutcome): boolean {
   return result.kind === 'notSent' || result.kind === 'refused';
 }
 
 describe('request plan', () => {
-  test(title('only a resumable stream with attempts left may go on elsewhere'), (t) => {
+  test(title('only a resumable stream with attempts left may continue elsewhere'), (t) => {
     const given = { kind: 'stream', isResumable: true, maxAttempts: 2, deadlineMs: 100 } as const;
     const plan = new RequestPlan(given);
-    t.true(plan.mayGoOnElsewhere);
-    plan.after({ kind: 'brokeOff', reason: 'r' }, 0);
-    t.false(plan.mayGoOnElsewhere, 'the second send is the last');
-    t.false(new RequestPlan({ ...given, isResumable: false }).mayGoOnElsewhere);
-    t.false(new RequestPlan({ ...given, maxAttempts: 1 }).mayGoOnElsewhere);
+    t.true(plan.mayContinueElsewhere);
+    plan.afterSend({ kind: 'brokeOff', reason: 'r' }, 0);
+    t.false(plan.mayContinueElsewhere, 'the second send is the last');
+    t.false(new RequestPlan({ ...given, isResumable: false }).mayContinueElsewhere);
+    t.false(new RequestPlan({ ...given, maxAttempts: 1 }).mayContinueElsewhere);
   });
 
-  test(title('what is refused as not run has not run, and what may run once runs once'), (t) => {
-    fc.assert(
-      fc.property(options, steps, (given, all) => {
-        const plan = new RequestPlan(given);
-        const mayRepeat =
-          given.kind === 'idempotent' || (given.kind === 'stream' && given.isResumable);
-        let nowMs = 0;
-        let runs = 0;
-        let step = plan.first();
-        for (const { outcome: result, passesOn, takesMs } of all) {
-          if (step.action !== 'send') break;
-          nowMs += takesMs;
-          const begins = passesOn && result.kind === 'brokeOff';
-          if (begins) plan.passedOn('1');
-          if (!didNotRun(result)) runs += 1;
-          step = plan.after(result, nowMs);
-          if (step.action === 'refuse' && runs > 0) return false;
-          if (step.action === 'send' && nowMs >= DEADLINE_MS) return false;
-          if (step.action === 'send' && runs > 0 && !mayRepeat) return false;
-          if (runs > given.maxAttempts) return false;
-        }
-        return true;
-      }),
-      { seed: 6, numRuns: 500 },
-    );
-    t.pass();
-  });
+  test(
+    title('refuses only unexecuted requests, and executes once those that may not be repeated'),
+    (t) => {
+      fc.assert(
+        fc.property(options, steps, (given, all) => {
+          const plan = new RequestPlan(given);
+          const mayRepeat =
+            given.kind === 'idempotent' || (given.kind === 'stream' && given.isResumable);
+          let nowMs = 0;
+          let executions = 0;
+          let step = plan.first();
+          for (const { outcome: result, isForwarded, tookMs } of all) {
+            if (step.action !== 'send') break;
+            nowMs += tookMs;
+            const hasBegun = isForwarded && result.kind === 'brokeOff';
+            if (hasBegun) plan.noteForwarded('1');
+            if (!isNotExecuted(result)) executions += 1;
+            step = plan.afterSend(result, nowMs);
+            if (step.action === 'refuse' && executions > 0) return false;
+            if (step.action === 'send' && nowMs >= DEADLINE_MS) return false;
+            if (step.action === 'send' && executions > 0 && !mayRepeat) return false;
+            if (executions > given.maxAttempts) return false;
+          }
+          return true;
+        }),
+        { seed: 6, numRuns: 500 },
+      );
+      t.pass();
+    },
+  );
 
-  test(title('a resumable stream goes on behind the last whole event'), (t) => {
+  test(title('a resumable stream continues after the last whole event'), (t) => {
     const plan = new RequestPlan({
       kind: 'stream',
       isResumable: true,
       maxAttempts: 2,
       deadlineMs: DEADLINE_MS,
     });
-    plan.passedOn('7');
-    t.deepEqual(plan.after({ kind: 'brokeOff', reason: 'r' }, 10), {
+    plan.noteForwarded('7');
+    t.deepEqual(plan.afterSend({ kind: 'brokeOff', reason: 'r' }, 10), {
       action: 'send',
       resumeAfterEventId: '7',
     });
-    t.deepEqual(plan.after({ kind: 'brokeOff', reason: 'r' }, 20), { action: 'cut' });
+    t.deepEqual(plan.afterSend({ kind: 'brokeOff', reason: 'r' }, 20), { action: 'abort' });
   });
 
-  test(title('a failure of the endpoint is passed on once no attempt is left'), (t) => {
+  test(title('an error response is forwarded once no attempt is left'), (t) => {
     const plan = new RequestPlan({
       kind: 'idempotent',
       isResumable: false,
       maxAttempts: 2,
       deadlineMs: DEADLINE_MS,
     });
-    t.is(plan.after({ kind: 'failed', status: 500 }, 10).action, 'send');
-    t.is(plan.after({ kind: 'failed', status: 500 }, 20).action, 'passOn');
+    t.is(plan.afterSend({ kind: 'failed', status: 500 }, 10).action, 'send');
+    t.is(plan.afterSend({ kind: 'failed', status: 500 }, 20).action, 'forwardFailure');
   });
 
-  test(title('time that runs out at an endpoint is a timeout, not a refusal'), (t) => {
+  test(title('a deadline that passes at an endpoint is a timeout, not a refusal'), (t) => {
     const plan = new RequestPlan({
       kind: 'once',
       isResumable: false,
       maxAttempts: 1,
       deadlineMs: DEADLINE_MS,
     });
-    t.deepEqual(plan.timeUp(), { action: 'fail', isTimeout: true });
+    t.deepEqual(plan.deadlineReached(), { action: 'fail', isTimeout: true });
     t.deepEqual(plan.giveUp(DEADLINE_MS), { action: 'fail', isTimeout: true });
   });
 });
 
 describe('event framer', () => {
-  test(title('gives the same whole events however the bytes are cut'), (t) => {
+  test(title('returns the same whole events however the bytes are split into chunks'), (t) => {
     const events = fc.array(
       fc.record({
         id: fc.nat(1000),
@@ -122,7 +125,7 @@
         events,
         fc.array(fc.nat(40), { maxLength: 40 }),
         fc.nat(10),
-        (all, cuts, extra) => {
+        (all, chunkLengths, extra) => {
           const texts = all.map(({ id, data, crlf }) => {
             const end = crlf ? '\r\n' : '\n';
             return `id: ${id}${end}data: ${data}${end}${end}`;
@@ -130,16 +133,16 @@
           const rest = 'id: 9'.slice(0, extra);
           const bytes = Buffer.from(texts.join('') + rest);
           const framer = new EventFramer();
-          const got: { bytes: Buffer; id: string | undefined }[] = [];
+          const received: { bytes: Buffer; id: string | undefined }[] = [];
           let start = 0;
-          for (const length of [...cuts, bytes.length]) {
-            got.push(...framer.take(bytes.subarray(start, start + length)));
+          for (const length of [...chunkLengths, bytes.length]) {
+            received.push(...framer.push(bytes.subarray(start, start + length)));
             start += length;
           }
           return (
-            got.map((event) => event.bytes.toString()).join('|') === texts.join('|') &&
-            got.every((event, index) => event.id === String(all[index]?.id)) &&
-            got.every((event, index) => dataOf(event) === all[index]?.data) &&
+            received.map((event) => event.bytes.toString()).join('|') === texts.join('|') &&
+            received.every((event, index) => event.id === String(all[index]?.id)) &&
+            received.every((event, index) => dataOf(event) === all[index]?.data) &&
             framer.pendingBytes === rest.length
           );
         },
@@ -149,9 +152,9 @@
     t.pass();
   });
 
-  test(title('reads data of several lines, and a line in front of the fields'), (t) => {
+  test(title('reads data of several lines, and ignores an unknown field before the id'), (t) => {
     const text = 'x-weight-versions: 2\nid: 4\ndata: a\ndata: b\n\n';
-    const [event] = new EventFramer().take(Buffer.from(text));
+    const [event] = new EventFramer().push(Buffer.from(text));
     t.is(event?.id, '4');
     t.is(event === undefined ? '' : dataOf(event), 'a\nb');
   });
--- a/packages/forwarding/src/request-plan.ts
+++ b/packages/forwarding/src/request-plan.ts
@@ -1,61 +1,61 @@
 /**
- * Decides what becomes of a request after each send: send it again, let its stream go on
- * elsewhere, refuse it as not run, or fail it. It never calls a request "not run" that an
- * endpoint may have run.
+ * Decides after each send what happens to a request: send it again, continue its stream at another
+ * endpoint, refuse it as not executed, or fail it. A request that an endpoint may have executed is
+ * never reported as not executed.
  */
 import { match } from 'ts-pattern';
 import type { RouteKind } from '@shedline/fleet';
 
-/** Sends that certainly did not run beyond which a request is refused. */
-const MAX_FRUITLESS_SENDS = 4;
-/** Least time left that a further send makes sense with. */
+/** Maximum number of sends that were certainly not executed, after which a request is refused. */
+const MAX_UNEXECUTED_SENDS = 4;
+/** Minimum time left for a further send. */
 const MIN_SEND_MS = 20;
-/** When a caller should come back whose request went to endpoints that did not run it, for reasons of their own. */
+/** Time after which a caller should retry a request that endpoints refused to execute. */
 const RETRY_AFTER_MS = 250;
 
 /** How one send ended. */
 export type SendOutcome =
-  /** No byte of the request went out. */
+  /** No byte of the request was sent. */
   | { readonly kind: 'notSent'; readonly reason: string }
-  /** The endpoint said that it did not run the request. */
+  /** The endpoint stated that it did not execute the request. */
   | { readonly kind: 'refused'; readonly status: number }
-  /** Sent, but no usable answer came: it may have run. */
+  /** Sent, but no usable response arrived: the request may have been executed. */
   | { readonly kind: 'lost'; readonly reason: string; readonly isSilence?: boolean }
-  /** The endpoint answered with a failure of its own. */
+  /** The endpoint responded with an error. */
   | { readonly kind: 'failed'; readonly status: number }
-  /** The answer began and broke off. `isSilence`: it was given up because nothing came. */
+  /** The response was truncated. `isSilence`: it was given up because nothing more arrived. */
   | { readonly kind: 'brokeOff'; readonly reason: string; readonly isSilence?: boolean };
 
-/** What to do next. */
+/** The next action for a request. */
 export type PlanStep =
   | { readonly action: 'send'; readonly resumeAfterEventId: string | undefined }
-  /** Refuse: the request has not run and never will. */
+  /** Refuse: the request was not and will not be executed. */
   | { readonly action: 'refuse'; readonly retryAfterMs: number }
-  /** Fail: the request may have run. `timeout` where its time is up. */
+  /** Fail: the request may have been executed. `isTimeout`: its deadline has passed. */
   | { readonly action: 'fail'; readonly isTimeout: boolean }
-  /** Pass on the endpoint's own failure. */
-  | { readonly action: 'passOn' }
-  /** Break the answer off: its beginning is with the caller already. */
-  | { readonly action: 'cut' };
+  /** Forward the endpoint's error response. */
+  | { readonly action: 'forwardFailure' }
+  /** Abort the response: its beginning was already forwarded to the caller. */
+  | { readonly action: 'abort' };
 
 /** Options of {@link RequestPlan}. */
 export interface RequestPlanOptions {
   readonly kind: RouteKind;
   readonly isResumable: boolean;
   readonly maxAttempts: number;
-  /** End of the time that the request has, on the clock of `nowMs`. */
+  /** Deadline of the request, on the clock of `nowMs`. */
   readonly deadlineMs: number;
-  /** Event after which the caller itself wants the stream to go on. */
+  /** Id of the event after which the caller itself wants the stream to resume. */
   readonly resumeAfterEventId?: string;
 }
 
-/** The way of one request over its endpoints. */
+/** State of one request over all its sends. */
 export class RequestPlan {
   private readonly options: RequestPlanOptions;
-  private runCount = 0;
-  private fruitlessCount = 0;
+  private executionCount = 0;
+  private unexecutedCount = 0;
   private lastEventId: string | undefined;
-  private hasBegun = false;
+  private hasResponseBegun = false;
   private mayHaveRun = false;
 
   constructor(options: RequestPlanOptions) {
@@ -63,12 +63,12 @@
     this.lastEventId = options.resumeAfterEventId;
   }
 
-  /** Sends so far that may have run. */
-  get runs(): number {
-    return this.runCount;
+  /** Number of sends so far that may have been executed. */
+  get executions(): number {
+    return this.executionCount;
   }
 
-  /** Whether some endpoint may have run the request. */
+  /** Whether some endpoint may have executed the request. */
   get isInDoubt(): boolean {
     return this.mayHaveRun;
   }
@@ -77,67 +77,73 @@
   get mayBeRepeated(): boolean {
     const { kind, isResumable, maxAttempts } = this.options;
     const isRepeatable = kind === 'idempotent' || (kind === 'stream' && isResumable);
-    return isRepeatable && this.runCount + 1 < maxAttempts;
+    return isRepeatable && this.executionCount + 1 < maxAttempts;
   }
 
-  /** Whether, once sent, the request may still go on at another endpoint after this one. */
-  get mayGoOnElsewhere(): boolean {
+  /** Whether the stream may continue at another endpoint if the next send fails. */
+  get mayContinueElsewhere(): boolean {
     return this.options.kind === 'stream' && this.mayBeRepeated;
   }
 
-  /** Time left, in whole milliseconds. */
+  /** Returns the time left until the deadline, in whole milliseconds. */
   timeLeftMs(nowMs: number): number {
     return Math.max(0, Math.floor(this.options.deadlineMs - nowMs));
   }
 
-  /** The first step. */
+  /** Returns the first step. */
   first(): PlanStep {
     return { action: 'send', resumeAfterEventId: this.lastEventId };
   }
 
-  /** Notes that part of an answer went to the caller; `eventId` is that of a whole event. */
-  passedOn(eventId: string | undefined): void {
-    this.hasBegun = true;
+  /**
+   * Notes that part of a response was forwarded to the caller; `eventId` is the id of a whole
+   * event.
+   */
+  noteForwarded(eventId: string | undefined): void {
+    this.hasResponseBegun = true;
     if (eventId !== undefined) this.lastEventId = eventId;
   }
 
-  /** The step after a send that ended without a whole answer. */
-  after(outcome: SendOutcome, nowMs: number): PlanStep {
-    const ran = match(outcome)
+  /** Returns the step after a send that ended without a complete response. */
+  afterSend(outcome: SendOutcome, nowMs: number): PlanStep {
+    const mayHaveExecuted = match(outcome)
       .with({ kind: 'notSent' }, { kind: 'refused' }, () => false)
       .otherwise(() => true);
-    if (ran) {
-      this.runCount += 1;
+    if (mayHaveExecuted) {
+      this.executionCount += 1;
       this.mayHaveRun = true;
     } else {
-      this.fruitlessCount += 1;
+      this.unexecutedCount += 1;
     }
-    if (this.maySendAgain(ran, nowMs)) {
+    if (this.maySendAgain(mayHaveExecuted, nowMs)) {
       return { action: 'send', resumeAfterEventId: this.lastEventId };
     }
-    if (outcome.kind === 'failed' && !this.hasBegun) return { action: 'passOn' };
+    if (outcome.kind === 'failed' && !this.hasResponseBegun) return { action: 'forwardFailure' };
     return this.giveUp(nowMs);
   }
 
-  /** The step where no endpoint can or may take the request, or its time is up. */
+  /**
+   * Returns the step for a request that no endpoint can or may execute, or whose deadline has
+   * passed.
+   */
   giveUp(nowMs: number, retryAfterMs = RETRY_AFTER_MS): PlanStep {
-    if (this.hasBegun) return { action: 'cut' };
+    if (this.hasResponseBegun) return { action: 'abort' };
     if (!this.mayHaveRun) return { action: 'refuse', retryAfterMs };
     return { action: 'fail', isTimeout: this.timeLeftMs(nowMs) === 0 };
   }
 
-  /** The step where time ran out while an endpoint was at work. */
-  timeUp(): PlanStep {
+  /** Returns the step for a request whose deadline passed while an endpoint executed it. */
+  deadlineReached(): PlanStep {
     this.mayHaveRun = true;
-    return this.hasBegun ? { action: 'cut' } : { action: 'fail', isTimeout: true };
+    return this.hasResponseBegun ? { action: 'abort' } : { action: 'fail', isTimeout: true };
   }
 
-  private maySendAgain(ran: boolean, nowMs: number): boolean {
+  private maySendAgain(mayHaveExecuted: boolean, nowMs: number): boolean {
     if (this.timeLeftMs(nowMs) < MIN_SEND_MS) return false;
-    if (!ran) return this.fruitlessCount < MAX_FRUITLESS_SENDS;
-    if (this.runCount >= this.options.maxAttempts) return false;
+    if (!mayHaveExecuted) return this.unexecutedCount < MAX_UNEXECUTED_SENDS;
+    if (this.executionCount >= this.options.maxAttempts) return false;
     const { kind, isResumable } = this.options;
-    if (kind === 'idempotent') return !this.hasBegun;
+    if (kind === 'idempotent') return !this.hasResponseBegun;
     return kind === 'stream' && isResumable;
   }
 }
--- a/packages/forwarding/src/silent-connections.test.ts
+++ b/packages/forwarding/src/silent-connections.test.ts
@@ -1,15 +1,9 @@
 /**
- * Half of the service was lost while connections were silent.
- *
- * Callers saw requests that never ended, for seconds, at a fleet whose endpoints were all well. Open
- * connections had gone silent for good, without a reset, while new ones worked. Each connection
- * that an entry had kept then took one more request with it; a request that went on elsewhere met the
- * next silent connection there. What could not go on elsewhere kept its slot until its deadline,
- * so that idle endpoints looked full.
- *
- * The evidence: logs of a fleet of processes in which all open connections were silenced. No
- * endpoint saw the requests that were lost; the same endpoints answered on new connections at the same
- * time; and a second send of the same request was lost at another endpoint just like the first.
+ * Guards against lost requests when all open connections to healthy endpoints become unresponsive
+ * without a reset, while new connections work. Each connection that an entry keeps alive then loses
+ * one request, and a request that continues at another endpoint is lost on an unresponsive
+ * connection there too. A request that cannot continue elsewhere occupies its slot until its
+ * deadline, so that idle endpoints look full.
  */
 import { createServer } from 'node:http';
 import type { Server } from 'node:http';
@@ -25,15 +19,15 @@
 import { Forwarder } from './forwarder.js';
 import type { EndpointHead, EndpointProtocol } from './protocol.js';
 
-/** Kept connections at the moment of silence. */
-const KEPT = 8;
-/** Requests after it. */
+/** Idle connections per endpoint when the connections become unresponsive. */
+const IDLE_CONNECTIONS = 8;
+/** Requests sent afterwards. */
 const REQUESTS = 16;
-/** Pause between them: none waits for the one before. */
-const REQUEST_PAUSE_MS = 20;
+/** Interval between these requests; a request does not wait for the previous one. */
+const REQUEST_INTERVAL_MS = 20;
 const DEADLINE_MS = 4000;
-/** Far longer than an answer takes beside any load that tests run under. */
-const SILENCE_MS = 600;
+/** Far longer than a response takes, whatever the load on the test machine. */
+const SILENCE_LIMIT_MS = 600;
 const ROUTE: Route = {
   name: 'r',
   host: 'h',
@@ -41,11 +35,11 @@
   kind: 'stream',
   targets: [{ service: 's', weight: 1 }],
   timeLimitMs: DEADLINE_MS,
-  targetMs: SILENCE_MS / 2,
+  targetMs: SILENCE_LIMIT_MS / 2,
   rank: 0,
   maxAttempts: 1,
   isResumable: false,
-  longestPauseMs: SILENCE_MS / 2,
+  longestPauseMs: SILENCE_LIMIT_MS / 2,
 };
 
 const PROTOCOL: EndpointProtocol = {
@@ -61,7 +55,7 @@
   }),
 };
 
-/** An endpoint behind a relay; `/hold` sends one event and no more. */
+/** An endpoint behind a relay; for `/hold` it sends one event and does not end the response. */
 class RelayedEndpoint {
   readonly relay: CuttableRelay;
   private readonly server: Server;
@@ -94,12 +88,12 @@
   }
 }
 
-/** Gives the endpoints by turns, and counts what is under way. */
-class Turns implements EndpointChooser {
+/** Chooses the endpoints in turn, and counts the sends in progress. */
+class RoundRobinChooser implements EndpointChooser {
   readonly knownWithinMs = 1000;
-  underWay = 0;
+  inFlight = 0;
   private readonly endpoints: readonly RelayedEndpoint[];
-  private turn = 0;
+  private nextIndex = 0;
 
   constructor(endpoints: readonly RelayedEndpoint[]) {
     this.endpoints = endpoints;
@@ -112,8 +106,8 @@
       load: 0,
     }));
     const free = all.filter(({ endpointId }) => !tried.has(endpointId));
-    this.turn += 1;
-    return free[this.turn % Math.max(1, free.length)];
+    this.nextIndex += 1;
+    return free[this.nextIndex % Math.max(1, free.length)];
   }
 
   capacity(): { slots: number; sharers: number } {
@@ -121,15 +115,15 @@
   }
 
   began(): void {
-    this.underWay += 1;
+    this.inFlight += 1;
   }
 
   ended(): void {
-    this.underWay -= 1;
+    this.inFlight -= 1;
   }
 
   answers(): void {
-    // Nothing depends on it here.
+    // Not used by these tests.
   }
 
   mayBeWaiting(): boolean {
@@ -137,8 +131,8 @@
   }
 }
 
-/** A caller that waits to the end. */
-class PatientCaller implements ResponseSink {
+/** A caller that waits until the response ends. */
+class WaitingCaller implements ResponseSink {
   private readonly onEvent: () => void;
 
   constructor(onEvent: () => void) {
@@ -146,41 +140,41 @@
   }
 
   head(): void {
-    // Only how the request ends counts here.
+    // Only the end of the request is checked.
   }
   write(): boolean {
     this.onEvent();
     return true;
   }
   onDrain(): void {
-    // Never asked to wait.
+    // Not called, as `write` always returns true.
   }
   end(): void {
-    // The end is reported by the forwarder.
+    // The forwarder reports the end.
   }
   cut(): void {
-    // The end is reported by the forwarder.
+    // The forwarder reports the end.
   }
   refuse(): void {
-    // The end is reported by the forwarder.
+    // The forwarder reports the end.
   }
   onGone(): void {
-    // Does not leave.
+    // Never disconnects.
   }
 }
 
 class Setup {
   readonly endpoints: readonly RelayedEndpoint[];
-  readonly chooser: Turns;
+  readonly chooser: RoundRobinChooser;
   private readonly sender = new EndpointSender({ protocol: PROTOCOL });
   private readonly forwarder: Forwarder;
-  private sent = 0;
-  /** Events that have reached callers. */
+  private requestCount = 0;
+  /** Number of events that callers have received. */
   events = 0;
 
   private constructor(endpoints: readonly RelayedEndpoint[]) {
     this.endpoints = endpoints;
-    this.chooser = new Turns(endpoints);
+    this.chooser = new RoundRobinChooser(endpoints);
     this.forwarder = new Forwarder({
       sender: this.sender,
       protocol: PROTOCOL,
@@ -196,8 +190,8 @@
   }
 
   request(route: Partial<Route>, path = '/'): Promise<ForwardEnd> {
-    this.sent += 1;
-    const requestId = `q-${this.sent}`;
+    this.requestCount += 1;
+    const requestId = `q-${this.requestCount}`;
     const nowMs = performance.now();
     return this.forwarder.run({
       request: { requestId, method: 'POST', path, headers: [], body: Buffer.from('b') },
@@ -208,25 +202,27 @@
       deadlineMs: nowMs + DEADLINE_MS,
       arrivedAtMs: nowMs,
       firstAskedAtMs: nowMs,
-      sink: new PatientCaller(() => {
+      sink: new WaitingCaller(() => {
         this.events += 1;
       }),
     });
   }
 
-  /** Leaves kept connections behind at all endpoints, and silences them. */
-  async silenceKept(route: Partial<Route>): Promise<void> {
-    const all = Array.from({ length: KEPT * this.endpoints.length }, () => this.request(route));
+  /** Opens connections to all endpoints that stay idle, and makes them unresponsive. */
+  async silenceIdleConnections(route: Partial<Route>): Promise<void> {
+    const all = Array.from({ length: IDLE_CONNECTIONS * this.endpoints.length }, () =>
+      this.request(route),
+    );
     await Promise.all(all);
     for (const { relay } of this.endpoints) relay.silenceOpen();
   }
 
-  /** Ends of requests that come while the old connections are silent. */
-  async ends(route: Partial<Route>): Promise<ForwardEnd[]> {
+  /** Sends requests while the old connections are unresponsive; returns how they end. */
+  async sendRequests(route: Partial<Route>): Promise<ForwardEnd[]> {
     const ends: Promise<ForwardEnd>[] = [];
     for (let request = 0; request < REQUESTS; request += 1) {
       ends.push(this.request(route));
-      await pause(REQUEST_PAUSE_MS);
+      await pause(REQUEST_INTERVAL_MS);
     }
     return Promise.all(ends);
   }
@@ -237,39 +233,39 @@
   }
 }
 
-describe('open connections go silent, new ones work', () => {
-  test(title('requests that may run once only are all answered'), async (t) => {
+describe('open connections become unresponsive, new connections work', () => {
+  test(title('requests that may be executed only once all complete'), async (t) => {
     const setup = await Setup.start(1);
-    await setup.silenceKept({});
-    const ends = await setup.ends({});
+    await setup.silenceIdleConnections({});
+    const ends = await setup.sendRequests({});
     await setup.close();
     t.deepEqual(ends, Array<ForwardEnd>(REQUESTS).fill('complete'));
   });
 
-  test(title('requests that may go on elsewhere are all answered'), async (t) => {
+  test(title('requests that may continue elsewhere all complete'), async (t) => {
     const setup = await Setup.start(2);
     const resumable = { isResumable: true, maxAttempts: 2 };
-    await setup.silenceKept(resumable);
-    const ends = await setup.ends(resumable);
+    await setup.silenceIdleConnections(resumable);
+    const ends = await setup.sendRequests(resumable);
     await setup.close();
     t.deepEqual(ends, Array<ForwardEnd>(REQUESTS).fill('complete'));
   });
 
-  test(title('a request that nobody can go on for gives its slot back'), async (t) => {
+  test(title('a request that cannot continue elsewhere releases its slot'), async (t) => {
     const setup = await Setup.start(1);
     let hasEnded = false;
-    const held = setup.request({}, '/hold').then((end) => {
+    const heldRequest = setup.request({}, '/hold').then((end) => {
       hasEnded = true;
       return end;
     });
     while (setup.events === 0) await pause(5);
-    t.is(setup.chooser.underWay, 1);
+    t.is(setup.chooser.inFlight, 1);
     setup.endpoints[0]?.relay.silenceOpen();
-    while (setup.chooser.underWay > 0) await pause(5);
+    while (setup.chooser.inFlight > 0) await pause(5);
     t.false(hasEnded);
-    const end = await held;
+    const end = await heldRequest;
     await setup.close();
     t.is(end, 'cut');
-    t.is(setup.chooser.underWay, 0);
+    t.is(setup.chooser.inFlight, 0);
   });
 });
