--- a/packages/transport/src/link-silence.ts
+++ b/packages/transport/src/link-silence.ts
@@ -1,81 +1,90 @@
 /**
- * Decides when a silent peer is asked for a sign of life, and when it counts as gone: a connection may
- * go silent for good without being closed, and a host without power closes none.
+ * Decides when a peer from which nothing is received is pinged, and when its connection is
+ * terminated. A connection can become unresponsive without being closed, as when the host of the
+ * peer loses power.
  */
 
-/** Time between looks. */
-export const LOOK_INTERVAL_MS = 200;
+/** Interval between checks. */
+export const CHECK_INTERVAL_MS = 200;
 
-/** How much silence of a peer is borne. */
-interface Limits {
-  /** Silence after which the peer is asked for a sign of life. */
-  readonly askAfterMs: number;
-  /** Silence after which it counts as gone; it has 250 ms or more to answer, for its collector's pauses. */
-  readonly giveUpAfterMs: number;
+/** Times without received bytes after which this side acts. */
+interface SilenceLimits {
+  /** Time after which the peer is pinged. */
+  readonly pingAfterMs: number;
+  /**
+   * Time after which the connection is terminated. The peer has at least 250 ms to reply to the
+   * ping, as it may be in a garbage collection pause.
+   */
+  readonly terminateAfterMs: number;
 }
 
 /**
- * How much depends on a connection. `news`: what this process knows comes over it, and the peer says
- * something each 800 ms or more often. `usual`: it may rest; pings of
- * such connections took 3 of 16 ms of script a second of an entry without load, among 40 (one profile).
+ * How soon an unresponsive peer is detected. `news`: fast, for connections that keep the state of
+ * this process up to date; the peer sends something at least every 800 ms. `normal`: for
+ * connections that may be idle. In an entry without load, one of 40, pings of such connections took
+ * 3 of 16 ms of script time per second (one profile).
  */
-export type LinkUse = 'news' | 'usual';
+export type SilenceDetection = 'news' | 'normal';
 
-const LIMITS: Readonly<Record<LinkUse | 'awaited', Limits>> = {
-  news: { askAfterMs: 850, giveUpAfterMs: 1300 },
-  usual: { askAfterMs: 1500, giveUpAfterMs: 3000 },
-  /** While an answer is awaited. */
-  awaited: { askAfterMs: 400, giveUpAfterMs: 1000 },
+const LIMITS: Readonly<Record<SilenceDetection | 'awaited', SilenceLimits>> = {
+  news: { pingAfterMs: 850, terminateAfterMs: 1300 },
+  normal: { pingAfterMs: 1500, terminateAfterMs: 3000 },
+  /** While a reply is awaited. */
+  awaited: { pingAfterMs: 400, terminateAfterMs: 1000 },
 };
 
 /**
- * Longest time in which silence is noticed where news come from. Less than the lease of a member: with
- * 3.5 s, and leases of 1.7 s, members vanished from all lists before the silent connections were opened anew.
+ * Maximum time to detect an unresponsive peer with fast detection. It is less than the lease of a
+ * member: with 3.5 s and member leases of 1.7 s, members disappeared from all lists before their
+ * unresponsive connections were reopened.
  */
-export const NEWS_SILENCE_NOTICED_MS = LIMITS.news.giveUpAfterMs + LOOK_INTERVAL_MS;
+export const FAST_DETECTION_MAX_MS = LIMITS.news.terminateAfterMs + CHECK_INTERVAL_MS;
 
-/** What to do about a peer. */
-export type SilenceStep = 'nothing' | 'ask' | 'giveUp';
+/** What this side does about a peer. */
+export type SilenceAction = 'none' | 'ping' | 'terminate';
 
-/** How long one peer has been silent. */
+/** Tracks how long nothing was received from one peer. */
 export class LinkSilence {
-  private readonly use: LinkUse;
-  private heardAtMs: number;
-  private lookedAtMs: number;
+  private readonly detection: SilenceDetection;
+  private lastReceivedAtMs: number;
+  private lastCheckAtMs: number;
 
-  constructor(use: LinkUse, nowMs: number) {
-    this.use = use;
-    this.heardAtMs = nowMs;
-    this.lookedAtMs = nowMs;
+  constructor(detection: SilenceDetection, nowMs: number) {
+    this.detection = detection;
+    this.lastReceivedAtMs = nowMs;
+    this.lastCheckAtMs = nowMs;
   }
 
-  /** The peer said something. */
-  heard(nowMs: number): void {
-    this.heardAtMs = nowMs;
+  /** Notes that something was received from the peer. */
+  noteReceived(nowMs: number): void {
+    this.lastReceivedAtMs = nowMs;
   }
 
-  /** Time since the peer said something. */
+  /** Returns the time since something was last received from the peer. */
   silentMs(nowMs: number): number {
-    return nowMs - this.heardAtMs;
+    return nowMs - this.lastReceivedAtMs;
   }
 
-  /** A regular look; `awaitedSinceMs` is when the oldest request without an answer went out. */
-  look(nowMs: number, awaitedSinceMs?: number): SilenceStep {
-    const sinceLookMs = nowMs - this.lookedAtMs;
-    this.lookedAtMs = nowMs;
-    // A process that stood still has not read yet what came in the meantime.
-    if (sinceLookMs > 2 * LOOK_INTERVAL_MS) {
-      this.heardAtMs = Math.max(this.heardAtMs, nowMs - LIMITS.awaited.askAfterMs);
+  /** Periodic check; `awaitedSinceMs` is when the oldest request without a reply was sent. */
+  check(nowMs: number, awaitedSinceMs?: number): SilenceAction {
+    const sinceCheckMs = nowMs - this.lastCheckAtMs;
+    this.lastCheckAtMs = nowMs;
+    // A process that was suspended has not read yet what arrived in the meantime.
+    if (sinceCheckMs > 2 * CHECK_INTERVAL_MS) {
+      this.lastReceivedAtMs = Math.max(this.lastReceivedAtMs, nowMs - LIMITS.awaited.pingAfterMs);
     }
-    const usual = stepAfter(LIMITS[this.use], this.silentMs(nowMs));
-    if (awaitedSinceMs === undefined || usual === 'giveUp') return usual;
-    const awaitedMs = nowMs - Math.max(this.heardAtMs, awaitedSinceMs);
-    const awaited = stepAfter(LIMITS.awaited, awaitedMs);
-    return awaited === 'nothing' ? usual : awaited;
+    const action = actionFor(LIMITS[this.detection], this.silentMs(nowMs));
+    if (awaitedSinceMs === undefined || action === 'terminate') return action;
+    const awaitedMs = nowMs - Math.max(this.lastReceivedAtMs, awaitedSinceMs);
+    const awaitedAction = actionFor(LIMITS.awaited, awaitedMs);
+    return awaitedAction === 'none' ? action : awaitedAction;
   }
 }
 
-function stepAfter({ askAfterMs, giveUpAfterMs }: Limits, silentMs: number): SilenceStep {
-  if (silentMs >= giveUpAfterMs) return 'giveUp';
-  return silentMs >= askAfterMs ? 'ask' : 'nothing';
+function actionFor(
+  { pingAfterMs, terminateAfterMs }: SilenceLimits,
+  silentMs: number,
+): SilenceAction {
+  if (silentMs >= terminateAfterMs) return 'terminate';
+  return silentMs >= pingAfterMs ? 'ping' : 'none';
 }
--- a/packages/transport/src/link.ts
+++ b/packages/transport/src/link.ts
@@ -1,17 +1,19 @@
 /**
- * One connection between two instances: one-way messages, and requests with answers.
+ * One connection between two processes: one-way messages, and requests with replies.
  */
 import { pack, unpack } from 'msgpackr';
 import type { WebSocket } from 'ws';
 import { ShedlineError, errorFromBody, toShedlineError } from '@shedline/errors';
 import type { ErrorBody } from '@shedline/errors';
-import { createHello, isProof, proofOf } from './handshake.js';
+import { createHello, isValidProof, createProof } from './handshake.js';
 import type { Hello } from './handshake.js';
 import { LinkSilence } from './link-silence.js';
-import type { LinkUse } from './link-silence.js';
+import type { SilenceDetection } from './link-silence.js';
 import { addPeriodicCheck, removePeriodicCheck } from './periodic-checks.js';
 
-/** Unsent bytes at which one-way messages are dropped; the senders repeat what matters. */
+/**
+ * Unsent bytes above which one-way messages are dropped; senders repeat the messages that matter.
+ */
 const MAX_BUFFERED_BYTES = 32 * 1024 * 1024;
 const HANDSHAKE_TIMEOUT_MS = 3000;
 type Frame =
@@ -22,18 +24,19 @@
   | ['answer', number, unknown]
   | ['failure', number, ErrorBody];
 
-/** What a link does with what arrives. */
+/** Handlers of received requests and messages. */
 export interface LinkHandlers {
-  /** Answers a request; a thrown error goes back to the peer. */
+  /** Handles a request and resolves with the reply; a thrown error is sent to the peer. */
   onRequest(method: string, payload: unknown, link: Link): Promise<unknown>;
+  /** Handles a one-way message. */
   onMessage(method: string, payload: unknown, link: Link): void;
 }
 
-/** Why a connection that was up is no longer. */
+/** Why an established connection was lost. */
 export interface LinkLoss {
-  /** `silent`: nothing was heard for too long, and this side cut it. */
+  /** `silent`: nothing was received for too long, and this side terminated the connection. */
   readonly reason: 'closed' | 'silent';
-  /** Time since the peer was last heard. */
+  /** Time since something was last received from the peer. */
   readonly silentMs: number;
 }
 
@@ -43,13 +46,13 @@
   readonly name: string;
   readonly secret: string;
   readonly handlers: LinkHandlers;
-  /** How soon silence has to be noticed; `usual` where it is left out. */
-  readonly use?: LinkUse;
+  /** How soon an unresponsive peer is detected; `normal` if omitted. */
+  readonly silenceDetection?: SilenceDetection;
   readonly onReady: (link: Link) => void;
   readonly onClosed: (link: Link) => void;
 }
 
-interface WaitingRequest {
+interface PendingRequest {
   readonly resolve: (payload: unknown) => void;
   readonly reject: (error: ShedlineError) => void;
   readonly timer: NodeJS.Timeout;
@@ -57,39 +60,39 @@
   readonly sentAtMs: number;
 }
 
-/** One proven connection to a peer. */
+/** One connection to a peer, authenticated by the handshake. */
 export class Link {
-  /** Name that the peer gave and proved. */
+  /** Authenticated name of the peer; empty before the handshake is complete. */
   peerName = '';
   private readonly socket: WebSocket;
   private readonly options: LinkOptions;
   private readonly ownHello: Hello;
-  private otherHello: Hello | undefined;
-  private proven = false;
+  private peerHello: Hello | undefined;
+  private isAuthenticated = false;
   private nextRequestId = 1;
-  private readonly waiting = new Map<number, WaitingRequest>();
+  private readonly pendingRequests = new Map<number, PendingRequest>();
   private readonly handshakeTimer: NodeJS.Timeout;
   private sentByteCount = 0;
   private readonly silence: LinkSilence;
   private lossReason: LinkLoss['reason'] = 'closed';
 
-  private readonly look = (): void => {
+  private readonly runCheck = (): void => {
     this.checkSilence();
   };
 
   constructor(options: LinkOptions) {
     this.options = options;
     this.socket = options.socket;
-    this.silence = new LinkSilence(options.use ?? 'usual', performance.now());
+    this.silence = new LinkSilence(options.silenceDetection ?? 'normal', performance.now());
     this.ownHello = createHello(options.name);
     this.socket.binaryType = 'nodebuffer';
     this.socket.on('message', (data: Buffer) => {
-      this.silence.heard(performance.now());
+      this.silence.noteReceived(performance.now());
       this.onData(data);
     });
-    for (const sign of ['ping', 'pong'] as const) {
-      this.socket.on(sign, () => {
-        this.silence.heard(performance.now());
+    for (const event of ['ping', 'pong'] as const) {
+      this.socket.on(event, () => {
+        this.silence.noteReceived(performance.now());
       });
     }
     this.socket.on('close', () => {
@@ -99,68 +102,68 @@
       this.socket.terminate();
     });
     this.handshakeTimer = setTimeout(() => {
-      if (!this.proven) this.socket.terminate();
+      if (!this.isAuthenticated) this.socket.terminate();
     }, HANDSHAKE_TIMEOUT_MS);
   }
 
-  /** Whether both sides have proven the secret and the connection is up. */
+  /** Whether the handshake is complete and the connection is open. */
   get isReady(): boolean {
-    return this.proven && this.socket.readyState === this.socket.OPEN;
+    return this.isAuthenticated && this.socket.readyState === this.socket.OPEN;
   }
 
-  /** Bytes sent so far. */
+  /** Number of bytes sent so far. */
   get sentBytes(): number {
     return this.sentByteCount;
   }
 
-  /** Why the connection is down; undefined where it never was up. */
+  /** Why the connection is down; undefined if its handshake was never completed. */
   get loss(): LinkLoss | undefined {
-    if (!this.proven) return undefined;
+    if (!this.isAuthenticated) return undefined;
     const silentMs = Math.round(this.silence.silentMs(performance.now()));
     return { reason: this.lossReason, silentMs };
   }
 
   /** Begins the handshake. */
   start(): void {
-    this.write(['hello', this.ownHello]);
+    this.sendFrame(['hello', this.ownHello]);
   }
 
   /** Sends a one-way message; it is dropped while the connection is congested. */
   send(method: string, payload: unknown): void {
     if (!this.isReady || this.socket.bufferedAmount > MAX_BUFFERED_BYTES) return;
-    this.write(['message', method, payload]);
+    this.sendFrame(['message', method, payload]);
   }
 
-  /** Sends a request and waits for its answer. */
+  /** Sends a request and waits for its reply. */
   request(method: string, payload: unknown, timeoutMs: number): Promise<unknown> {
     return new Promise((resolve, reject) => {
       if (!this.isReady) {
-        reject(this.failure(method, 'is not connected', 'no'));
+        reject(this.createError(method, 'is not connected', 'no'));
         return;
       }
       const requestId = this.nextRequestId;
       this.nextRequestId += 1;
       const timer = setTimeout(() => {
-        this.waiting.delete(requestId);
-        reject(this.failure(method, `gave no answer in ${timeoutMs} ms`, 'unknown'));
+        this.pendingRequests.delete(requestId);
+        reject(this.createError(method, `did not reply within ${timeoutMs} ms`, 'unknown'));
       }, timeoutMs);
       const sentAtMs = performance.now();
-      this.waiting.set(requestId, { resolve, reject, timer, method, sentAtMs });
-      this.write(['request', requestId, method, payload]);
+      this.pendingRequests.set(requestId, { resolve, reject, timer, method, sentAtMs });
+      this.sendFrame(['request', requestId, method, payload]);
     });
   }
 
-  /** Closes politely. */
+  /** Closes the connection with a closing handshake. */
   close(): void {
     this.socket.close();
   }
 
-  /** Cuts the connection. */
+  /** Closes the connection at once. */
   terminate(): void {
     this.socket.terminate();
   }
 
-  private write(frame: Frame): void {
+  private sendFrame(frame: Frame): void {
     const bytes = pack(frame);
     this.sentByteCount += bytes.length;
     this.socket.send(bytes);
@@ -174,7 +177,7 @@
       this.socket.terminate();
       return;
     }
-    if (!this.proven) {
+    if (!this.isAuthenticated) {
       this.onHandshake(frame);
       return;
     }
@@ -182,39 +185,39 @@
   }
 
   private onHandshake(frame: Frame): void {
-    if (frame[0] === 'hello' && this.otherHello === undefined) {
-      this.otherHello = frame[1];
-      this.write(['proof', proofOf(this.options.secret, this.ownHello, this.otherHello)]);
+    if (frame[0] === 'hello' && this.peerHello === undefined) {
+      this.peerHello = frame[1];
+      this.sendFrame(['proof', createProof(this.options.secret, this.ownHello, this.peerHello)]);
       return;
     }
-    const other = this.otherHello;
-    const right =
+    const other = this.peerHello;
+    const isValid =
       frame[0] === 'proof' &&
       other !== undefined &&
-      // A peer that sends our own hello back would otherwise prove itself with our proof.
+      // Otherwise a peer that returns our own hello could use our proof as its own.
       other.nonce !== this.ownHello.nonce &&
-      isProof(frame[1], proofOf(this.options.secret, other, this.ownHello));
-    if (!right) {
+      isValidProof(frame[1], createProof(this.options.secret, other, this.ownHello));
+    if (!isValid) {
       this.socket.terminate();
       return;
     }
-    this.proven = true;
+    this.isAuthenticated = true;
     this.peerName = other.name;
     clearTimeout(this.handshakeTimer);
-    this.silence.heard(performance.now());
-    addPeriodicCheck(this.look);
+    this.silence.noteReceived(performance.now());
+    addPeriodicCheck(this.runCheck);
     this.options.onReady(this);
   }
 
   private onFrame(frame: Frame): void {
     const { handlers } = this.options;
     if (frame[0] === 'message') handlers.onMessage(frame[1], frame[2], this);
-    if (frame[0] === 'request') void this.answer(frame[1], frame[2], frame[3]);
-    if (frame[0] === 'answer') this.settle(frame[1])?.resolve(frame[2]);
-    if (frame[0] === 'failure') this.settle(frame[1])?.reject(errorFromBody(frame[2]));
+    if (frame[0] === 'request') void this.handleRequest(frame[1], frame[2], frame[3]);
+    if (frame[0] === 'answer') this.takePendingRequest(frame[1])?.resolve(frame[2]);
+    if (frame[0] === 'failure') this.takePendingRequest(frame[1])?.reject(errorFromBody(frame[2]));
   }
 
-  private async answer(requestId: number, method: string, payload: unknown): Promise<void> {
+  private async handleRequest(requestId: number, method: string, payload: unknown): Promise<void> {
     let frame: Frame;
     try {
       frame = ['answer', requestId, await this.options.handlers.onRequest(method, payload, this)];
@@ -222,40 +225,46 @@
       const failure = toShedlineError(error, { step: method, peer: this.options.name });
       frame = ['failure', requestId, failure.toBody()];
     }
-    if (this.isReady) this.write(frame);
+    if (this.isReady) this.sendFrame(frame);
   }
 
-  private settle(requestId: number): WaitingRequest | undefined {
-    const request = this.waiting.get(requestId);
+  private takePendingRequest(requestId: number): PendingRequest | undefined {
+    const request = this.pendingRequests.get(requestId);
     if (request === undefined) return undefined;
-    this.waiting.delete(requestId);
+    this.pendingRequests.delete(requestId);
     clearTimeout(request.timer);
     return request;
   }
 
-  /** Cuts a connection that has been silent for too long; a ping asks for a sign of life. */
+  /** Pings an unresponsive peer, and later terminates its connection. */
   private checkSilence(): void {
-    const [oldest] = this.waiting.values();
-    const step = this.silence.look(performance.now(), oldest?.sentAtMs);
-    if (step === 'giveUp') {
+    const [oldest] = this.pendingRequests.values();
+    const action = this.silence.check(performance.now(), oldest?.sentAtMs);
+    if (action === 'terminate') {
       this.lossReason = 'silent';
       this.socket.terminate();
     }
-    if (step === 'ask' && this.socket.readyState === this.socket.OPEN) this.socket.ping();
+    if (action === 'ping' && this.socket.readyState === this.socket.OPEN) this.socket.ping();
   }
 
   private onClosed(): void {
     clearTimeout(this.handshakeTimer);
-    removePeriodicCheck(this.look);
-    for (const requestId of [...this.waiting.keys()]) {
-      const request = this.settle(requestId);
-      request?.reject(this.failure(request.method, 'closed the connection', 'unknown'));
+    removePeriodicCheck(this.runCheck);
+    for (const requestId of [...this.pendingRequests.keys()]) {
+      const request = this.takePendingRequest(requestId);
+      request?.reject(this.createError(request.method, 'closed the connection', 'unknown'));
     }
     this.options.onClosed(this);
   }
 
-  private failure(step: string, what: string, ran: 'no' | 'unknown'): ShedlineError {
-    const peer = this.peerName === '' ? 'unproven peer' : this.peerName;
-    return new ShedlineError({ type: 'unavailable', message: `${peer} ${what}`, step, peer, ran });
+  private createError(step: string, problem: string, ran: 'no' | 'unknown'): ShedlineError {
+    const peer = this.peerName === '' ? 'unauthenticated peer' : this.peerName;
+    return new ShedlineError({
+      type: 'unavailable',
+      message: `${peer} ${problem}`,
+      step,
+      peer,
+      ran,
+    });
   }
 }
--- a/packages/transport/src/peer-client.ts
+++ b/packages/transport/src/peer-client.ts
@@ -1,13 +1,13 @@
 /**
- * Keeps one connection to another instance and opens it again when it breaks.
+ * Client of another process that keeps one connection and reconnects when it is lost.
  */
 import { WebSocket } from 'ws';
 import { ShedlineError } from '@shedline/errors';
 import { Link } from './link.js';
 import type { LinkHandlers, LinkLoss } from './link.js';
-import type { LinkUse } from './link-silence.js';
+import type { SilenceDetection } from './link-silence.js';
 
-/** Pause before a lost connection is opened again, doubled with each failure. */
+/** Delay before the first reconnection attempt, doubled with each failure. */
 const FIRST_RETRY_MS = 50;
 const MAX_RETRY_MS = 1000;
 const CONNECT_TIMEOUT_MS = 1000;
@@ -15,34 +15,34 @@
 
 /** Options of {@link PeerClient}. */
 export interface PeerClientOptions {
-  /** Name of this instance. */
+  /** Name of this process. */
   readonly name: string;
   /** Name of the peer, for errors. */
   readonly peerName: string;
   readonly url: string;
   readonly secret: string;
-  /** Own IP number to connect from; the system chooses where it is left out. */
+  /** Local IP address to connect from; chosen by the system if omitted. */
   readonly localAddress?: string;
   readonly handlers?: Partial<LinkHandlers>;
-  /** How soon silence of the peer has to be noticed; `usual` where it is left out. */
-  readonly use?: LinkUse;
-  /** Pause before a lost connection is opened again. */
+  /** How soon an unresponsive peer is detected; `normal` if omitted. */
+  readonly silenceDetection?: SilenceDetection;
+  /** Delay before the first reconnection attempt. */
   readonly firstRetryMs?: number;
   readonly onReady?: () => void;
-  /** Called when a connection that was up is not any more, but for {@link PeerClient.close}. */
+  /** Called when an established connection was lost, but not after {@link PeerClient.close}. */
   readonly onLost?: (loss: LinkLoss) => void;
 }
 
-/** A lasting connection to a peer. */
+/** A connection to a peer that is reopened when it is lost. */
 export class PeerClient {
   readonly peerName: string;
   private readonly options: PeerClientOptions;
   private link: Link | undefined;
-  private closed = false;
+  private isClosed = false;
   private retryMs: number;
   private retryTimer: NodeJS.Timeout | undefined;
-  private waiters: (() => void)[] = [];
-  private earlierBytes = 0;
+  private readyWaiters: (() => void)[] = [];
+  private closedLinkBytes = 0;
 
   constructor(options: PeerClientOptions) {
     this.options = options;
@@ -51,19 +51,19 @@
     this.open();
   }
 
-  /** Whether messages would go out now. */
+  /** Whether a message would be sent now. */
   get isReady(): boolean {
     return this.link?.isReady === true;
   }
 
-  /** Whether the connection is lost and waits to be opened again. */
+  /** Whether the connection is lost and waits for the next reconnection attempt. */
   get isDown(): boolean {
     return this.link === undefined;
   }
 
-  /** Bytes sent to the peer so far. */
+  /** Number of bytes sent to the peer so far. */
   get sentBytes(): number {
-    return this.earlierBytes + (this.link?.sentBytes ?? 0);
+    return this.closedLinkBytes + (this.link?.sentBytes ?? 0);
   }
 
   /** Sends a one-way message; it is dropped while there is no connection. */
@@ -71,26 +71,26 @@
     this.link?.send(method, payload);
   }
 
-  /** Sends a request; waits for a connection within the time-out. */
+  /** Sends a request; the time-out includes waiting for a connection. */
   async request(
     method: string,
     payload: unknown,
     timeoutMs = DEFAULT_REQUEST_TIMEOUT_MS,
   ): Promise<unknown> {
-    const startedMs = performance.now();
+    const startedAtMs = performance.now();
     if (!this.isReady) await this.waitUntilReady(timeoutMs);
     const link = this.link;
     if (link?.isReady !== true) throw this.notConnected(method);
-    const leftMs = Math.max(1, timeoutMs - (performance.now() - startedMs));
+    const leftMs = Math.max(1, timeoutMs - (performance.now() - startedAtMs));
     return link.request(method, payload, leftMs);
   }
 
-  /** Closes for good. */
+  /** Closes the connection for good. */
   close(): void {
-    this.closed = true;
+    this.isClosed = true;
     clearTimeout(this.retryTimer);
     this.link?.terminate();
-    this.wake();
+    this.resolveReadyWaiters();
   }
 
   private get firstRetryMs(): number {
@@ -98,16 +98,16 @@
   }
 
   private open(): void {
-    if (this.closed) return;
+    if (this.isClosed) return;
     const { localAddress } = this.options;
     const socket = new WebSocket(this.options.url, {
       handshakeTimeout: CONNECT_TIMEOUT_MS,
       ...(localAddress === undefined ? {} : { localAddress }),
     });
-    const { handlers, use } = this.options;
+    const { handlers, silenceDetection } = this.options;
     const link = new Link({
       socket,
-      ...(use === undefined ? {} : { use }),
+      ...(silenceDetection === undefined ? {} : { silenceDetection }),
       name: this.options.name,
       secret: this.options.secret,
       handlers: {
@@ -132,15 +132,15 @@
 
   private onReady(): void {
     this.retryMs = this.firstRetryMs;
-    this.wake();
+    this.resolveReadyWaiters();
     this.options.onReady?.();
   }
 
   private onClosed(): void {
-    this.earlierBytes += this.link?.sentBytes ?? 0;
+    this.closedLinkBytes += this.link?.sentBytes ?? 0;
     const loss = this.link?.loss;
     this.link = undefined;
-    if (this.closed) return;
+    if (this.isClosed) return;
     if (loss !== undefined) this.options.onLost?.(loss);
     this.retryTimer = setTimeout(() => {
       this.open();
@@ -151,16 +151,16 @@
   private waitUntilReady(timeoutMs: number): Promise<void> {
     return new Promise((resolve) => {
       const timer = setTimeout(resolve, timeoutMs);
-      this.waiters.push(() => {
+      this.readyWaiters.push(() => {
         clearTimeout(timer);
         resolve();
       });
     });
   }
 
-  private wake(): void {
-    const waiters = this.waiters;
-    this.waiters = [];
+  private resolveReadyWaiters(): void {
+    const waiters = this.readyWaiters;
+    this.readyWaiters = [];
     for (const waiter of waiters) waiter();
   }
 
--- a/packages/transport/src/peer-connections.test.ts
+++ b/packages/transport/src/peer-connections.test.ts
@@ -7,9 +7,9 @@
 import { PeerServer } from './peer-server.js';
 
 const HOST = '127.0.0.1';
-const SECRET = 'a secret of the book';
+const SECRET = 'a secret of the peers';
 
-async function peer(name: string): Promise<{ server: PeerServer; port: number }> {
+async function startPeer(name: string): Promise<{ server: PeerServer; port: number }> {
   const server = new PeerServer({
     name,
     secret: SECRET,
@@ -21,12 +21,15 @@
   return { server, port: await server.listen(HOST, 0) };
 }
 
-async function until(what: () => boolean): Promise<void> {
-  while (!what()) await pause(10);
+async function until(condition: () => boolean): Promise<void> {
+  while (!condition()) await pause(10);
 }
 
-/** Passes bytes on until it is silenced; then it keeps connections open and says nothing. */
-async function relayTo(
+/**
+ * Starts a relay that forwards bytes until it is silenced; then it keeps connections open and
+ * discards bytes.
+ */
+async function startRelay(
   port: number,
 ): Promise<{ port: number; silence: () => void; close: () => void }> {
   const { connect } = await import('node:net');
@@ -61,8 +64,8 @@
 }
 
 describe('peer connections', () => {
-  test(title('connects to those that are added, and closes those that are not kept'), async (t) => {
-    const [first, second] = await Promise.all([peer('first'), peer('second')]);
+  test(title('connects to added peers, and closes connections that are not kept'), async (t) => {
+    const [first, second] = await Promise.all([startPeer('first'), startPeer('second')]);
     const ready: string[] = [];
     const connections = new PeerConnections({
       name: 'own',
@@ -86,57 +89,51 @@
     await Promise.all([first.server.close(), second.server.close()]);
   });
 
-  test(
-    title('keeps a connection that is soon wanted again, and closes one that is not'),
-    async (t) => {
-      const { server, port } = await peer('far');
-      let nowMs = 0;
-      const connections = new PeerConnections({
-        name: 'own',
-        secret: SECRET,
-        lingerMs: 100,
-        nowMs: () => nowMs,
-      });
-      connections.add({ name: 'far', host: HOST, port });
-      const first = connections.get('far');
-      connections.keepOnly(new Set());
-      nowMs = 99;
-      connections.keepOnly(new Set());
-      t.is(connections.get('far'), first);
-      connections.keepOnly(new Set(['far']));
-      nowMs = 150;
-      connections.keepOnly(new Set());
-      t.is(connections.get('far'), first);
-      nowMs = 250;
-      connections.keepOnly(new Set());
-      t.is(connections.get('far'), undefined);
-      await server.close();
-    },
-  );
+  test(title('keeps a connection that is soon needed again, and closes others'), async (t) => {
+    const { server, port } = await startPeer('far');
+    let nowMs = 0;
+    const connections = new PeerConnections({
+      name: 'own',
+      secret: SECRET,
+      lingerMs: 100,
+      nowMs: () => nowMs,
+    });
+    connections.add({ name: 'far', host: HOST, port });
+    const first = connections.get('far');
+    connections.keepOnly(new Set());
+    nowMs = 99;
+    connections.keepOnly(new Set());
+    t.is(connections.get('far'), first);
+    connections.keepOnly(new Set(['far']));
+    nowMs = 150;
+    connections.keepOnly(new Set());
+    t.is(connections.get('far'), first);
+    nowMs = 250;
+    connections.keepOnly(new Set());
+    t.is(connections.get('far'), undefined);
+    await server.close();
+  });
 
-  test(
-    title('does not go on to open a connection that is lost and no longer wanted'),
-    async (t) => {
-      const { server, port } = await peer('far');
-      const connections = new PeerConnections({
-        name: 'own',
-        secret: SECRET,
-        lingerMs: 1e6,
-        firstRetryMs: 1e6,
-      });
-      connections.add({ name: 'far', host: HOST, port });
-      await until(() => connections.ready.length === 1);
-      await server.close();
-      await until(() => connections.get('far')?.isDown === true);
-      connections.keepOnly(new Set());
-      t.is(connections.get('far'), undefined);
-      connections.close();
-    },
-  );
+  test(title('does not reopen a connection that is lost and no longer needed'), async (t) => {
+    const { server, port } = await startPeer('far');
+    const connections = new PeerConnections({
+      name: 'own',
+      secret: SECRET,
+      lingerMs: 1e6,
+      firstRetryMs: 1e6,
+    });
+    connections.add({ name: 'far', host: HOST, port });
+    await until(() => connections.ready.length === 1);
+    await server.close();
+    await until(() => connections.get('far')?.isDown === true);
+    connections.keepOnly(new Set());
+    t.is(connections.get('far'), undefined);
+    connections.close();
+  });
 
-  test(title('gives a connection up that has fallen silent without closing'), async (t) => {
-    const { server, port } = await peer('far');
-    const relay = await relayTo(port);
+  test(title('terminates a connection that became unresponsive without closing'), async (t) => {
+    const { server, port } = await startPeer('far');
+    const relay = await startRelay(port);
     const connections = new PeerConnections({ name: 'own', secret: SECRET });
     connections.add({ name: 'far', host: HOST, port: relay.port });
     await until(() => connections.ready.length === 1);
--- a/packages/transport/src/peer-connections.ts
+++ b/packages/transport/src/peer-connections.ts
@@ -1,11 +1,11 @@
 /**
- * Connections to a set of peers that changes while the process runs.
+ * Connections to a set of peers, which changes while the process runs.
  */
 import type { LinkHandlers, LinkLoss } from './link.js';
-import type { LinkUse } from './link-silence.js';
+import type { SilenceDetection } from './link-silence.js';
 import { PeerClient } from './peer-client.js';
 
-/** Where a peer takes connections. */
+/** Address at which a peer accepts connections. */
 export interface PeerAddress {
   readonly name: string;
   readonly host: string;
@@ -17,37 +17,38 @@
   /** Name of this process. */
   readonly name: string;
   readonly secret: string;
-  /** Own IP number to connect from; the system chooses where it is left out. */
+  /** Local IP address to connect from; chosen by the system if omitted. */
   readonly localAddress?: string;
   readonly handlers?: Partial<LinkHandlers>;
-  /** How soon silence of a peer has to be noticed; `usual` where it is left out. */
-  readonly use?: LinkUse;
-  /** Pause before a lost connection is opened again. */
+  /** How soon an unresponsive peer is detected; `normal` if omitted. */
+  readonly use?: SilenceDetection;
+  /** Delay before the first reconnection attempt. */
   readonly firstRetryMs?: number;
-  /** Called with the name of a peer whenever a connection to it has been proven. */
+  /** Called whenever the handshake with a peer is complete. */
   readonly onReady?: (peerName: string) => void;
-  /** Called when the connection to a peer was lost; it is opened again. */
+  /** Called when the connection to a peer was lost; it will be reopened. */
   readonly onLost?: (peerName: string, loss: LinkLoss) => void;
   /**
-   * Time that a connection is kept after its peer is no longer wanted: one that is wanted again
-   * soon need not be opened anew.
+   * Time for which a connection is kept after its peer is no longer needed, so that it does not
+   * have to be reopened if the peer is needed again soon. 0 if omitted.
    */
   readonly lingerMs?: number;
   readonly nowMs?: () => number;
 }
 
-/** One lasting connection a peer. */
+/** One {@link PeerClient} per peer. */
 export class PeerConnections {
   private readonly options: PeerConnectionsOptions;
   private readonly clients = new Map<string, PeerClient>();
-  private readonly unwantedSinceMs = new Map<string, number>();
-  private closed = false;
+  /** Since when each connected peer has not been needed. */
+  private readonly unneededSinceMs = new Map<string, number>();
+  private isClosed = false;
 
   constructor(options: PeerConnectionsOptions) {
     this.options = options;
   }
 
-  /** The connection to a peer, if it is one. */
+  /** Returns the client of a peer; undefined if the process is not a peer. */
   get(name: string): PeerClient | undefined {
     return this.clients.get(name);
   }
@@ -57,14 +58,14 @@
     return [...this.clients.keys()];
   }
 
-  /** Peers whose connection is up. */
+  /** Clients whose connection is ready. */
   get ready(): PeerClient[] {
     return [...this.clients.values()].filter((client) => client.isReady);
   }
 
-  /** Makes a process a peer; one that is already is left alone. */
+  /** Adds a peer and connects to it; does nothing if it is already a peer. */
   add(address: PeerAddress): void {
-    if (this.closed || address.name === this.options.name) return;
+    if (this.isClosed || address.name === this.options.name) return;
     if (this.clients.has(address.name)) return;
     const { name, secret, localAddress, handlers, use, firstRetryMs, onReady, onLost } =
       this.options;
@@ -75,7 +76,7 @@
       url: `ws://${address.host}:${address.port}`,
       ...(localAddress === undefined ? {} : { localAddress }),
       ...(handlers === undefined ? {} : { handlers }),
-      ...(use === undefined ? {} : { use }),
+      ...(use === undefined ? {} : { silenceDetection: use }),
       ...(firstRetryMs === undefined ? {} : { firstRetryMs }),
       onReady: () => onReady?.(address.name),
       onLost: (loss) => onLost?.(address.name, loss),
@@ -83,31 +84,33 @@
     this.clients.set(address.name, client);
   }
 
-  /** Closes the connections to all peers but these, those that linger at a later call. */
+  /**
+   * Closes the connections to all other peers, at a later call if `lingerMs` has not passed yet.
+   */
   keepOnly(names: ReadonlySet<string>): void {
     const nowMs = this.options.nowMs?.() ?? performance.now();
     for (const [name, client] of this.clients) {
       if (names.has(name)) {
-        this.unwantedSinceMs.delete(name);
+        this.unneededSinceMs.delete(name);
         continue;
       }
-      const sinceMs = this.unwantedSinceMs.get(name) ?? nowMs;
-      this.unwantedSinceMs.set(name, sinceMs);
+      const sinceMs = this.unneededSinceMs.get(name) ?? nowMs;
+      this.unneededSinceMs.set(name, sinceMs);
       const hasLingered = nowMs - sinceMs >= (this.options.lingerMs ?? 0);
-      // One that is down would only be opened in vain until then.
-      if (hasLingered || client.isDown) this.drop(name, client);
+      // A lost connection is not kept, as it would only be reopened in vain.
+      if (hasLingered || client.isDown) this.remove(name, client);
     }
   }
 
   /** Closes all connections for good. */
   close(): void {
-    this.closed = true;
-    for (const [name, client] of this.clients) this.drop(name, client);
+    this.isClosed = true;
+    for (const [name, client] of this.clients) this.remove(name, client);
   }
 
-  private drop(name: string, client: PeerClient): void {
+  private remove(name: string, client: PeerClient): void {
     client.close();
     this.clients.delete(name);
-    this.unwantedSinceMs.delete(name);
+    this.unneededSinceMs.delete(name);
   }
 }
--- a/packages/transport/src/peer-server.test.ts
+++ b/packages/transport/src/peer-server.test.ts
@@ -1,13 +1,9 @@
 /**
- * What operators saw: a control process that was told to stop was still there minutes later, with its port for
- * operators open, answering 503 to all of them.
- *
- * Order of events: it was told to stop half a second after its start, while others dialled it; one line after "stopping" a peer
- * noted its connection to it as up.
- *
- * Cause: closing ended the connections that had proved who they were, and waited for the end of all. One that was
- * still proving itself did so afterwards, and both sides kept it alive for good. Evidence: the process had nothing left but two
- * such connections on a port that nobody listened on any more.
+ * Guards against a process that does not stop. If closing the server ended only the authenticated
+ * connections and waited for all, a connection whose handshake was still in progress would complete
+ * it afterwards, and both sides would keep it open. A control process that was stopped half a
+ * second after its start, while others connected to it, kept running this way, with two such
+ * connections, and responded with 503 to operators.
  */
 import { connect, createServer } from 'node:net';
 import type { AddressInfo, Socket } from 'node:net';
@@ -27,14 +23,17 @@
   return { server, port: await server.listen(HOST, 0) };
 }
 
-/** Passes the first bytes of a connection on, the upgrade of its protocol; holds the rest until it is let go. */
+/**
+ * Forwards the first bytes of a connection, the protocol upgrade, and buffers the rest until
+ * released.
+ */
 class HandshakeRelay {
   private readonly server = createServer((socket) => {
     this.relay(socket);
   });
   private readonly sockets: Socket[] = [];
-  private readonly held: (() => void)[] = [];
-  private isHolding = true;
+  private readonly bufferedWrites: (() => void)[] = [];
+  private isBuffering = true;
 
   constructor(private readonly targetPort: number) {}
 
@@ -48,14 +47,14 @@
     return (this.server.address() as AddressInfo).port;
   }
 
-  /** Whether the dialling side has begun to prove itself. */
+  /** Whether the connecting side has begun its handshake. */
   get hasBegun(): boolean {
-    return this.held.length > 0;
+    return this.bufferedWrites.length > 0;
   }
 
-  letGo(): void {
-    this.isHolding = false;
-    for (const pass of this.held) pass();
+  release(): void {
+    this.isBuffering = false;
+    for (const write of this.bufferedWrites) write();
   }
 
   private relay(socket: Socket): void {
@@ -67,15 +66,15 @@
     socket.on('error', () => undefined);
     let isUpgrade = true;
     socket.on('data', (bytes) => {
-      if (isUpgrade || !this.isHolding) target.write(bytes);
-      else this.held.push(() => target.write(bytes));
+      if (isUpgrade || !this.isBuffering) target.write(bytes);
+      else this.bufferedWrites.push(() => target.write(bytes));
       isUpgrade = false;
     });
   }
 }
 
 describe('PeerServer', () => {
-  test(title('closes while a peer is proving who it is'), async (t) => {
+  test(title('closes while the handshake with a peer is in progress'), async (t) => {
     t.timeout(20_000);
     const { server, port } = await startServer();
     const relay = new HandshakeRelay(port);
@@ -86,12 +85,12 @@
     connections.add({ name: 'server', host: HOST, port: await relay.listen(t) });
     while (!relay.hasBegun) await new Promise(setImmediate);
     const closing = server.close();
-    relay.letGo();
+    relay.release();
     await closing;
     t.is(server.readyLinks.length, 0);
   });
 
-  test(title('closes while somebody is connected who says nothing'), async (t) => {
+  test(title('closes while a client is connected that sends nothing'), async (t) => {
     t.timeout(20_000);
     const { server, port } = await startServer();
     const socket = connect(port, HOST);
--- a/packages/transport/src/peer-server.ts
+++ b/packages/transport/src/peer-server.ts
@@ -1,5 +1,5 @@
 /**
- * Takes connections from other instances.
+ * Server that accepts connections from other processes.
  */
 import { createServer } from 'node:http';
 import type { Server } from 'node:http';
@@ -18,12 +18,12 @@
   readonly handlers: LinkHandlers;
 }
 
-/** Listens for other instances. */
+/** Accepts connections and authenticates their peers. */
 export class PeerServer {
   private readonly options: PeerServerOptions;
   private readonly links = new Set<Link>();
-  /** The newest proven connection of each peer. */
-  private readonly newest = new Map<string, Link>();
+  /** The most recent authenticated connection of each peer. */
+  private readonly newestLinks = new Map<string, Link>();
   private readonly listener: Server;
   private readonly server: WebSocketServer;
 
@@ -38,7 +38,7 @@
     });
   }
 
-  /** Starts listening; gives the port. */
+  /** Starts listening; resolves with the port. */
   listen(host: string, port: number): Promise<number> {
     const { listener, server } = this;
     return new Promise((resolve, reject) => {
@@ -50,19 +50,19 @@
     });
   }
 
-  /** Connections that are proven and up. */
+  /** Connections that are authenticated and open. */
   get readyLinks(): Link[] {
     return [...this.links].filter((link) => link.isReady);
   }
 
-  /** The newest connection that a peer has opened, if it is up. */
+  /** Returns the most recent connection of a peer; undefined if it is closed. */
   linkOf(peerName: string): Link | undefined {
-    return this.newest.get(peerName);
+    return this.newestLinks.get(peerName);
   }
 
   /**
-   * Stops listening and closes all connections, also those that have not proved or said anything yet: they would
-   * be kept up by their peers, and this would wait for them.
+   * Stops listening and closes all connections, including those that are not authenticated or have
+   * received nothing yet. Their peers would keep them open, and this call would wait for them.
    */
   async close(): Promise<void> {
     const { listener, server } = this;
@@ -83,11 +83,12 @@
       ...this.options,
       onReady: (ready) => {
         this.links.add(ready);
-        this.newest.set(ready.peerName, ready);
+        this.newestLinks.set(ready.peerName, ready);
       },
       onClosed: (closed) => {
         this.links.delete(closed);
-        if (this.newest.get(closed.peerName) === closed) this.newest.delete(closed.peerName);
+        if (this.newestLinks.get(closed.peerName) === closed)
+          this.newestLinks.delete(closed.peerName);
       },
     });
     link.start();
--- a/packages/transport/src/periodic-checks.ts
+++ b/packages/transport/src/periodic-checks.ts
@@ -1,24 +1,25 @@
 /**
- * Regular looks at all links of a process, with one timer: a timer a link woke the process up for each.
+ * Periodic checks of all links of a process with one timer, as one timer per link would wake the
+ * process up once for each link.
  */
-import { LOOK_INTERVAL_MS } from './link-silence.js';
+import { CHECK_INTERVAL_MS } from './link-silence.js';
 
-type Look = () => void;
+type PeriodicCheck = () => void;
 
-const checks = new Set<Look>();
+const checks = new Set<PeriodicCheck>();
 let timer: NodeJS.Timeout | undefined;
 
-/** Calls `look` at each interval until it is removed. */
-export function addPeriodicCheck(look: Look): void {
-  checks.add(look);
+/** Calls `check` at each interval until it is removed. */
+export function addPeriodicCheck(check: PeriodicCheck): void {
+  checks.add(check);
   timer ??= setInterval(() => {
     for (const each of checks) each();
-  }, LOOK_INTERVAL_MS);
+  }, CHECK_INTERVAL_MS);
 }
 
-/** Calls it no more. */
-export function removePeriodicCheck(look: Look): void {
-  checks.delete(look);
+/** Stops calling `check`; stops the timer after the last one. */
+export function removePeriodicCheck(check: PeriodicCheck): void {
+  checks.delete(check);
   if (checks.size > 0) return;
   clearInterval(timer);
   timer = undefined;
--- a/packages/transport/src/transport.test.ts
+++ b/packages/transport/src/transport.test.ts
@@ -25,7 +25,7 @@
 }
 
 describe('transport', () => {
-  test(title('answers requests of a peer that knows the secret'), (t) =>
+  test(title('replies to requests of a peer that knows the secret'), (t) =>
     withServer(async (url, seen) => {
       const client = new PeerClient({ name: 'other', peerName: 'server', url, secret: 'right' });
       t.deepEqual(await client.request('ask', [1]), { echo: [1] });
@@ -34,7 +34,7 @@
     }),
   );
 
-  test(title('lets no message of a peer with another secret count'), (t) =>
+  test(title('accepts no request of a peer with another secret'), (t) =>
     withServer(async (url, seen) => {
       const stranger = new PeerClient({
         name: 'stranger',
