--- a/packages/mesh/src/control-choice.test.ts
+++ b/packages/mesh/src/control-choice.test.ts
@@ -4,7 +4,7 @@
 import { describe, title } from '@shedline/test-utils';
 import { PeerServer } from '@shedline/transport';
 import type { PeerAddress } from '@shedline/transport';
-import { controlsToReach } from './control-choice.js';
+import { controlsToConnect } from './control-choice.js';
 import { fakeControl } from './fake-member.js';
 import type { MemberKind } from './member-record.js';
 import { Mesh } from './mesh.js';
@@ -16,51 +16,51 @@
   return addresses.map(({ name }) => name);
 }
 
-describe('controlsToReach', () => {
+describe('controlsToConnect', () => {
   const seeds = [{ name: 'seed', host: HOST, port: 1 }];
   const core = [fakeControl('c1', 'm1'), fakeControl('c2', 'm2')];
   const all = [...core, fakeControl('d1'), fakeControl('d2'), fakeControl('seed')];
 
-  const usual = { seeds, controls: all, lastingCore: [], hasTold: () => true };
+  const defaults = { seeds, controls: all, persistentCore: [], hasSentList: () => true };
 
-  test(title('is the core alone once some of it is reached'), (t) => {
+  test(title('returns only the core once some of it is connected'), (t) => {
     const isConnected = (name: string): boolean => name === 'c2';
-    t.deepEqual(namesOf(controlsToReach({ ...usual, isConnected })), ['c1', 'c2']);
+    t.deepEqual(namesOf(controlsToConnect({ ...defaults, isConnected })), ['c1', 'c2']);
   });
 
-  test(title('is those of the core that are silent, too'), (t) => {
-    const lastingCore = [fakeControl('c3', 'm3')];
-    const wanted = controlsToReach({ ...usual, lastingCore, isConnected: () => true });
+  test(title('includes the missing members of the core'), (t) => {
+    const persistentCore = [fakeControl('c3', 'm3')];
+    const wanted = controlsToConnect({ ...defaults, persistentCore, isConnected: () => true });
     t.deepEqual(namesOf(wanted), ['c1', 'c2', 'c3']);
-    const alone = controlsToReach({
-      ...usual,
+    const alone = controlsToConnect({
+      ...defaults,
       controls: [],
-      lastingCore,
+      persistentCore,
       isConnected: () => false,
     });
-    t.deepEqual(namesOf(alone), ['seed', 'c3'], 'also where no other is known');
+    t.deepEqual(namesOf(alone), ['seed', 'c3'], 'also if no other control process is known');
   });
 
-  test(title('is a seed until it has told of the fleet once'), (t) => {
-    const hasTold = (name: string): boolean => name !== 'seed';
-    const wanted = controlsToReach({ ...usual, hasTold, isConnected: () => true });
+  test(title('includes a seed until it has sent its list once'), (t) => {
+    const hasSentList = (name: string): boolean => name !== 'seed';
+    const wanted = controlsToConnect({ ...defaults, hasSentList, isConnected: () => true });
     t.deepEqual(namesOf(wanted), ['seed', 'c1', 'c2']);
   });
 
-  test(title('is the seeds too while none of the core is reached'), (t) => {
+  test(title('includes the seeds while none of the core is connected'), (t) => {
     const isConnected = (name: string): boolean => name === 'd1';
-    const wanted = controlsToReach({ ...usual, isConnected });
+    const wanted = controlsToConnect({ ...defaults, isConnected });
     t.deepEqual(namesOf(wanted), ['seed', 'c1', 'c2']);
   });
 
-  test(title('is everybody where no core is known'), (t) => {
+  test(title('returns all control processes if no core is known'), (t) => {
     const controls = [fakeControl('d1')];
-    const wanted = controlsToReach({ ...usual, controls, isConnected: () => true });
+    const wanted = controlsToConnect({ ...defaults, controls, isConnected: () => true });
     t.deepEqual(namesOf(wanted), ['seed', 'd1']);
   });
 });
 
-/** A process with its mesh. */
+/** A process with a mesh. */
 class TestProcess {
   readonly mesh: Mesh;
   readonly address: PeerAddress;
@@ -87,7 +87,7 @@
       name,
       secret: SECRET,
       handlers: {
-        onRequest: () => Promise.reject(new Error('nothing is asked')),
+        onRequest: () => Promise.reject(new Error('no request is expected')),
         onMessage: (method, payload, link) => mesh.receive(method, payload, link),
       },
     });
@@ -111,7 +111,7 @@
     return new TestProcess({ address, server, mesh });
   }
 
-  get controls(): string[] {
+  get readyControls(): string[] {
     return this.mesh.controls.ready.map(({ peerName }) => peerName).sort();
   }
 
@@ -122,32 +122,35 @@
 }
 
 describe('a fleet with control processes outside the core', () => {
-  test(title('everybody ends up connected to the core only, whatever seeds it has'), async (t) => {
-    const first = await TestProcess.start({
-      name: 'c1',
-      kind: 'control',
-      memberId: 'm',
-      seeds: [],
-    });
-    const { address } = first;
-    const started = [
-      first,
-      await TestProcess.start({ name: 'c2', kind: 'control', memberId: 'n', seeds: [address] }),
-      await TestProcess.start({ name: 'd1', kind: 'control', seeds: [address] }),
-    ];
-    const outside = started[2]?.address ?? address;
-    const entry = await TestProcess.start({ name: 'e1', kind: 'entry', seeds: [outside] });
-    started.push(entry);
-    t.teardown(() => Promise.all(started.map((one) => one.stop())));
-    const isSettled = (): boolean =>
-      entry.controls.join() === 'c1,c2' &&
-      started[2]?.controls.join() === 'c1,c2' &&
-      first.mesh.live('entry').length === 1 &&
-      first.mesh.live('control').length === 3;
-    while (!isSettled()) await pause(20);
-    t.deepEqual(
-      entry.mesh.live('control').map(({ name }) => name),
-      ['c1', 'c2', 'd1'],
-    );
-  });
+  test(
+    title('each process finally connects to the core only, whatever its seeds are'),
+    async (t) => {
+      const first = await TestProcess.start({
+        name: 'c1',
+        kind: 'control',
+        memberId: 'm',
+        seeds: [],
+      });
+      const { address } = first;
+      const started = [
+        first,
+        await TestProcess.start({ name: 'c2', kind: 'control', memberId: 'n', seeds: [address] }),
+        await TestProcess.start({ name: 'd1', kind: 'control', seeds: [address] }),
+      ];
+      const outside = started[2]?.address ?? address;
+      const entry = await TestProcess.start({ name: 'e1', kind: 'entry', seeds: [outside] });
+      started.push(entry);
+      t.teardown(() => Promise.all(started.map((process) => process.stop())));
+      const isSettled = (): boolean =>
+        entry.readyControls.join() === 'c1,c2' &&
+        started[2]?.readyControls.join() === 'c1,c2' &&
+        first.mesh.live('entry').length === 1 &&
+        first.mesh.live('control').length === 3;
+      while (!isSettled()) await pause(20);
+      t.deepEqual(
+        entry.mesh.live('control').map(({ name }) => name),
+        ['c1', 'c2', 'd1'],
+      );
+    },
+  );
 });
--- a/packages/mesh/src/control-choice.ts
+++ b/packages/mesh/src/control-choice.ts
@@ -1,41 +1,50 @@
 /**
- * Which control processes a process keeps a connection to. Those with a disk hold the state of the
- * fleet and its list of processes; the others pass on what endpoints and operators tell them, on weak
- * instances beside an entry. With everybody connected to everybody, 20 control processes of a fleet of 200
- * instances had 220 connections each: the weak ones answered nothing for over 1.3 s, were cut off by all at
- * once, and opened all connections again.
+ * Chooses the control processes that a process keeps a connection to. The core, the control
+ * processes with a disk, holds the state of the fleet and its member list. The other control
+ * processes run on weak instances beside an entry and forward requests of endpoints and operators.
+ * When all processes were connected to each other, 20 control processes of a fleet of 200 instances
+ * had 220 connections each: the weak ones did not respond for over 1.3 s, all their peers
+ * terminated the connections at once, and all connections were reopened.
  *
- * Silence says nothing of whether a process has left: after a cut both sides know themselves only, so each has to go on trying
- * whom it knew, or they stay two fleets for good.
+ * An unresponsive process may still be part of the fleet: after a network partition each side lists
+ * only its own members. Each process therefore keeps trying to reconnect to the members that it
+ * knew; otherwise the sides would remain separate fleets.
  */
 import type { PeerAddress } from '@shedline/transport';
 import type { MemberRecord } from './member-record.js';
 
-/** Options of {@link controlsToReach}. */
+/** Options of {@link controlsToConnect}. */
 export interface ControlChoiceOptions {
-  /** Control processes named by the settings. */
+  /** Control processes named in the settings. */
   readonly seeds: readonly PeerAddress[];
-  /** Whether a control process has told this one of the fleet at some time. */
-  readonly hasTold: (name: string) => boolean;
-  /** Control processes that belong to the core whether or not they are heard. */
-  readonly lastingCore: readonly PeerAddress[];
-  /** Control processes that are up, as far as this process knows. */
+  /** Whether a control process has ever sent its member list to this process. */
+  readonly hasSentList: (name: string) => boolean;
+  /** Control processes that belong to the core even if no list contains them. */
+  readonly persistentCore: readonly PeerAddress[];
+  /** Control processes that are up according to the received lists. */
   readonly controls: readonly MemberRecord[];
   /** Whether the connection to a control process is up. */
   readonly isConnected: (name: string) => boolean;
 }
 
-/** Whether a control process holds the state of the fleet. */
+/** Whether a process is a control process of the core, which holds the state of the fleet. */
 export function isCore({ kind, memberId }: MemberRecord): boolean {
   return kind === 'control' && memberId !== undefined;
 }
 
 /**
- * The control processes to be connected to: the core, silent or not, and the seeds until some of it is reached. A
- * seed that has told nothing yet may know of a part of the fleet that nobody here knows.
+ * Returns the control processes to connect to: the whole core, including its unresponsive members,
+ * and all seeds until some of the core is connected. After that only seeds that have never sent a
+ * list are included, as they may know a part of the fleet that this process does not know.
  */
-export function controlsToReach(options: ControlChoiceOptions): PeerAddress[] {
-  const { seeds, hasTold, lastingCore, controls, isConnected } = options;
+export function controlsToConnect(options: ControlChoiceOptions): PeerAddress[] {
+  const {
+    seeds,
+    hasSentList: hasTold,
+    persistentCore: lastingCore,
+    controls,
+    isConnected,
+  } = options;
   const core = controls.filter(isCore);
   if (core.length === 0) return [...seeds, ...controls, ...lastingCore];
   const isReached = core.some(({ name }) => isConnected(name));
--- a/packages/mesh/src/fake-member.ts
+++ b/packages/mesh/src/fake-member.ts
@@ -1,9 +1,9 @@
 /**
- * Records of processes for tests.
+ * Member records for tests.
  */
 import type { MemberRecord } from './member-record.js';
 
-/** A control process; one without a disk has no `memberId`. */
+/** Returns the record of a control process; without a `memberId` it has no disk. */
 export function fakeControl(name: string, memberId?: string): MemberRecord {
   return {
     name,
--- a/packages/mesh/src/index.ts
+++ b/packages/mesh/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * Membership of a fleet whose processes know only a few seed addresses.
+ * Membership of a fleet whose processes are configured with only a few seed addresses.
  */
 export * from './member-record.js';
 export * from './member-registry.js';
--- a/packages/mesh/src/known-core-members.test.ts
+++ b/packages/mesh/src/known-core-members.test.ts
@@ -4,7 +4,7 @@
 import { fakeControl } from './fake-member.js';
 import type { MemberRecord } from './member-record.js';
 
-/** A control process with a disk. */
+/** Returns the record of a control process with a disk. */
 function control(name: string): MemberRecord {
   return fakeControl(name, `${name}#1`);
 }
@@ -12,40 +12,44 @@
 const HOUR_MS = 3_600_000;
 
 describe('KnownCoreMembers', () => {
-  test(title('remembers who is silent, and tells when one is heard again'), (t) => {
+  test(title('remembers missing members, and reports when they reappear'), (t) => {
     const knownCore = new KnownCoreMembers();
-    t.deepEqual(knownCore.note([control('a'), control('b')], 0), { silent: [], reappeared: [] });
-    t.deepEqual(knownCore.note([control('a')], 5000), { silent: ['b'], reappeared: [] });
-    t.deepEqual(knownCore.note([control('a')], 6000), { silent: [], reappeared: [] }, 'told once');
-    t.deepEqual(knownCore.silent, [{ name: 'b', host: '127.0.0.1', port: 1 }]);
-    t.deepEqual(knownCore.note([control('a'), control('b')], 9000), {
-      silent: [],
+    t.deepEqual(knownCore.update([control('a'), control('b')], 0), { missing: [], reappeared: [] });
+    t.deepEqual(knownCore.update([control('a')], 5000), { missing: ['b'], reappeared: [] });
+    t.deepEqual(
+      knownCore.update([control('a')], 6000),
+      { missing: [], reappeared: [] },
+      'reported once',
+    );
+    t.deepEqual(knownCore.missing, [{ name: 'b', host: '127.0.0.1', port: 1 }]);
+    t.deepEqual(knownCore.update([control('a'), control('b')], 9000), {
+      missing: [],
       reappeared: [{ name: 'b', silentMs: 9000 }],
     });
-    t.deepEqual(knownCore.silent, []);
+    t.deepEqual(knownCore.missing, []);
   });
 
   test(title('does not remember control processes without a disk'), (t) => {
     const knownCore = new KnownCoreMembers();
-    knownCore.note([fakeControl('a')], 0);
-    knownCore.note([], 10);
-    t.deepEqual(knownCore.silent, []);
+    knownCore.update([fakeControl('a')], 0);
+    knownCore.update([], 10);
+    t.deepEqual(knownCore.missing, []);
   });
 
-  test(title('outlives hours of silence, but neither days nor a crowd'), (t) => {
+  test(title('remembers missing members for hours, but not for days, and not too many'), (t) => {
     const knownCore = new KnownCoreMembers();
-    knownCore.note([control('old')], 0);
-    knownCore.note([], HOUR_MS);
-    t.is(knownCore.silent.length, 1);
+    knownCore.update([control('old')], 0);
+    knownCore.update([], HOUR_MS);
+    t.is(knownCore.missing.length, 1);
     const many = Array.from({ length: 40 }, (_, index) => control(`c${index}`));
-    knownCore.note(many, 2 * HOUR_MS);
-    knownCore.note([], 3 * HOUR_MS);
-    t.is(knownCore.silent.length, 32);
+    knownCore.update(many, 2 * HOUR_MS);
+    knownCore.update([], 3 * HOUR_MS);
+    t.is(knownCore.missing.length, 32);
     t.false(
-      knownCore.silent.some(({ name }) => name === 'old'),
-      'the last heard ones stay',
+      knownCore.missing.some(({ name }) => name === 'old'),
+      'the last seen members are kept',
     );
-    knownCore.note([], 27 * HOUR_MS);
-    t.deepEqual(knownCore.silent, []);
+    knownCore.update([], 27 * HOUR_MS);
+    t.deepEqual(knownCore.missing, []);
   });
 });
--- a/packages/mesh/src/known-core-members.ts
+++ b/packages/mesh/src/known-core-members.ts
@@ -1,77 +1,90 @@
 /**
- * Remembers the control processes with a disk beyond the leases of the lists: one that is silent may be
- * behind a cut, and come back with nobody on this side starting anew.
+ * Remembers the control processes with a disk after their leases expire: a member that is missing
+ * from all lists may be separated by a network partition and reconnect without a restart of any
+ * process.
  */
 import type { PeerAddress } from '@shedline/transport';
 import { isCore } from './control-choice.js';
 import type { MemberRecord } from './member-record.js';
 
-/** Time for which a silent control process is remembered: longer than regions lose each other. */
-const REMEMBER_MS = 24 * 60 * 60 * 1000;
-/** Silent control processes that are remembered, the last heard ones: a few more than a large fleet has. */
-const MAX_REMEMBERED = 32;
+/**
+ * Time for which a missing control process is remembered: longer than a partition between regions
+ * lasts.
+ */
+const MISSING_RETENTION_MS = 24 * 60 * 60 * 1000;
+/**
+ * Maximum number of missing control processes, the last seen ones: a few more than a large fleet
+ * has.
+ */
+const MAX_MISSING = 32;
 
-interface Remembered {
+interface KnownControl {
   readonly address: PeerAddress;
-  heardAtMs: number;
-  isSilent: boolean;
+  lastSeenAtMs: number;
+  isMissing: boolean;
 }
 
-/** A control process that is heard again. */
+/** A control process that is listed again. */
 export interface ReappearedControl {
   readonly name: string;
+  /** Time since it was last listed before. */
   readonly silentMs: number;
 }
 
-/** What changed since the last look at the list of processes that are up. */
+/** Changes since the last update from the lists of processes that are up. */
 export interface CoreChanges {
-  /** Names of control processes that no list holds any more. */
-  readonly silent: readonly string[];
+  /** Names of control processes that no list contains any more. */
+  readonly missing: readonly string[];
   readonly reappeared: readonly ReappearedControl[];
 }
 
-/** Control processes with a disk that were up at some time. */
+/** The control processes with a disk that have been up at some time. */
 export class KnownCoreMembers {
-  private readonly remembered = new Map<string, Remembered>();
+  private readonly known = new Map<string, KnownControl>();
 
-  /** Takes the control processes that are up now. */
-  note(controls: readonly MemberRecord[], nowMs: number): CoreChanges {
+  /** Updates the known members from the control processes that are up now. */
+  update(controls: readonly MemberRecord[], nowMs: number): CoreChanges {
     const core = controls.filter(isCore);
-    const reappeared = core.flatMap((record) => this.hear(record, nowMs) ?? []);
-    const silent = this.noteSilent(new Set(core.map(({ name }) => name)));
-    this.forget(nowMs);
-    return { silent, reappeared };
+    const reappeared = core.flatMap((record) => this.noteSeen(record, nowMs) ?? []);
+    const missing = this.markMissing(new Set(core.map(({ name }) => name)));
+    this.removeExpired(nowMs);
+    return { missing, reappeared };
   }
 
-  /** Those that are silent now. */
-  get silent(): readonly PeerAddress[] {
-    const all = [...this.remembered.values()];
-    return all.filter(({ isSilent }) => isSilent).map(({ address }) => address);
+  /** Members that no list contains now. */
+  get missing(): readonly PeerAddress[] {
+    const all = [...this.known.values()];
+    return all.filter(({ isMissing }) => isMissing).map(({ address }) => address);
   }
 
-  private hear({ name, host, port }: MemberRecord, nowMs: number): ReappearedControl | undefined {
-    const known = this.remembered.get(name);
-    this.remembered.set(name, {
+  private noteSeen(
+    { name, host, port }: MemberRecord,
+    nowMs: number,
+  ): ReappearedControl | undefined {
+    const known = this.known.get(name);
+    this.known.set(name, {
       address: { name, host, port },
-      heardAtMs: nowMs,
-      isSilent: false,
+      lastSeenAtMs: nowMs,
+      isMissing: false,
     });
-    if (known?.isSilent !== true) return undefined;
-    return { name, silentMs: Math.round(nowMs - known.heardAtMs) };
+    if (known?.isMissing !== true) return undefined;
+    return { name, silentMs: Math.round(nowMs - known.lastSeenAtMs) };
   }
 
-  private noteSilent(live: ReadonlySet<string>): string[] {
-    const newly = [...this.remembered].filter(([name, one]) => !one.isSilent && !live.has(name));
-    for (const [, one] of newly) one.isSilent = true;
-    return newly.map(([name]) => name);
+  private markMissing(live: ReadonlySet<string>): string[] {
+    const newlyMissing = [...this.known].filter(
+      ([name, control]) => !control.isMissing && !live.has(name),
+    );
+    for (const [, control] of newlyMissing) control.isMissing = true;
+    return newlyMissing.map(([name]) => name);
   }
 
-  private forget(nowMs: number): void {
-    const silent = [...this.remembered].filter(([, { isSilent }]) => isSilent);
-    silent.sort(([, a], [, b]) => b.heardAtMs - a.heardAtMs);
-    for (const [place, [name, { heardAtMs }]] of silent.entries()) {
-      const isOld = nowMs - heardAtMs >= REMEMBER_MS;
-      if (place >= MAX_REMEMBERED || isOld) this.remembered.delete(name);
+  private removeExpired(nowMs: number): void {
+    const missing = [...this.known].filter(([, { isMissing }]) => isMissing);
+    missing.sort(([, a], [, b]) => b.lastSeenAtMs - a.lastSeenAtMs);
+    for (const [index, [name, { lastSeenAtMs }]] of missing.entries()) {
+      const isExpired = nowMs - lastSeenAtMs >= MISSING_RETENTION_MS;
+      if (index >= MAX_MISSING || isExpired) this.known.delete(name);
     }
   }
 }
--- a/packages/mesh/src/member-view.ts
+++ b/packages/mesh/src/member-view.ts
@@ -1,40 +1,45 @@
 /**
- * The processes that are up, put together from the lists of several control processes: one that
- * is cut off from a process must not make it vanish for all.
+ * The processes that are up according to the lists of several control processes. A process
+ * disappears only from all of them, as a single control process may be partitioned from it.
  */
 import type { MemberKind, MemberRecord } from './member-record.js';
 import type { MemberChanges } from './member-registry.js';
 
-/** Silence of a control process after which its list no longer counts beside fresher ones. */
+/**
+ * Time without changes from a control process after which its list is ignored in favor of fresher
+ * lists.
+ */
 const LIST_LEASE_MS = 2600;
 
-interface HeldList {
+interface ReceivedList {
   readonly members: Map<string, MemberRecord>;
   version: number;
-  heardAtMs: number;
+  lastReceivedAtMs: number;
 }
 
-/** Union of the lists heard lately. */
+/** Union of the recently received lists. */
 export class MemberView {
-  private readonly lists = new Map<string, HeldList>();
-  /** Grows with each change of a list. */
+  private readonly lists = new Map<string, ReceivedList>();
+  /** Increases with each change of a list. */
   private changeCount = 0;
-  /** What {@link live} gave last, and what it depended on. */
-  private readonly answers = new Map<
+  /**
+   * Last result of {@link live} for each kind, with a key of the lists that it was computed from.
+   */
+  private readonly cachedUnions = new Map<
     MemberKind,
     { readonly key: string; members: MemberRecord[] }
   >();
 
   /**
-   * Takes the list of a control process, or what changed in it. False where the changes are to
-   * a list that is not held here: then the sender has to begin again with the whole.
+   * Applies the list of a control process, or changes of it. Returns false if the changes apply to
+   * another version than the known one: the sender then has to send the whole list.
    */
-  hear(from: string, changes: MemberChanges, nowMs: number): boolean {
+  applyChanges(from: string, changes: MemberChanges, nowMs: number): boolean {
     const { version, since, changed, gone } = changes;
     const known = this.lists.get(from);
     if (since === undefined) {
       const members = new Map(changed.map((record) => [record.name, record]));
-      this.lists.set(from, { members, version, heardAtMs: nowMs });
+      this.lists.set(from, { members, version, lastReceivedAtMs: nowMs });
       this.changeCount += 1;
       return true;
     }
@@ -43,48 +48,53 @@
     for (const name of gone) known.members.delete(name);
     for (const record of changed) known.members.set(record.name, record);
     known.version = version;
-    known.heardAtMs = nowMs;
+    known.lastReceivedAtMs = nowMs;
     return true;
   }
 
-  /** Control processes whose lists count now; all of them where none is fresh. */
-  private counting(nowMs: number): [string, HeldList][] {
+  /**
+   * Returns the lists in use with their control processes: the fresh ones, or all if none is fresh.
+   */
+  private currentLists(nowMs: number): [string, ReceivedList][] {
     const all = [...this.lists];
-    const fresh = all.filter(([, list]) => nowMs - list.heardAtMs < LIST_LEASE_MS);
+    const fresh = all.filter(([, list]) => nowMs - list.lastReceivedAtMs < LIST_LEASE_MS);
     return fresh.length > 0 ? fresh : all;
   }
 
-  /** The same by all lists but that of one process; not kept, for rare use. */
+  /**
+   * Returns the processes of a kind that are up according to the lists of all others than `name`;
+   * not cached.
+   */
   liveExcept(kind: MemberKind, name: string, nowMs: number): MemberRecord[] {
-    const others = this.counting(nowMs).filter(([from]) => from !== name);
+    const others = this.currentLists(nowMs).filter(([from]) => from !== name);
     return unionOf(
       kind,
       others.map(([, list]) => list),
     );
   }
 
-  /** Whether some control process has been heard lately. */
+  /** Whether the list of some control process is fresh. */
   isFresh(nowMs: number): boolean {
-    return [...this.lists.values()].some((list) => nowMs - list.heardAtMs < LIST_LEASE_MS);
+    return [...this.lists.values()].some((list) => nowMs - list.lastReceivedAtMs < LIST_LEASE_MS);
   }
 
-  /** Processes of a kind that are up, one record each. */
+  /** Returns the processes of a kind that are up, one record each. */
   live(kind: MemberKind, nowMs: number): readonly MemberRecord[] {
-    const counting = this.counting(nowMs);
-    const key = `${this.changeCount}|${counting.map(([name]) => name).join()}`;
-    const last = this.answers.get(kind);
-    if (last?.key === key) return last.members;
+    const current = this.currentLists(nowMs);
+    const key = `${this.changeCount}|${current.map(([name]) => name).join()}`;
+    const cached = this.cachedUnions.get(kind);
+    if (cached?.key === key) return cached.members;
     const members = unionOf(
       kind,
-      counting.map(([, list]) => list),
+      current.map(([, list]) => list),
     );
-    this.answers.set(kind, { key, members });
+    this.cachedUnions.set(kind, { key, members });
     return members;
   }
 }
 
-/** Records of a kind in any of the lists, one a process, ordered by name. */
-function unionOf(kind: MemberKind, lists: readonly HeldList[]): MemberRecord[] {
+/** Returns the records of a kind in any of the lists, one per process, ordered by name. */
+function unionOf(kind: MemberKind, lists: readonly ReceivedList[]): MemberRecord[] {
   const byName = new Map<string, MemberRecord>();
   for (const { members } of lists) {
     for (const record of members.values()) {
@@ -96,7 +106,10 @@
   return [...byName.values()].sort((a, b) => (a.name < b.name ? -1 : 1));
 }
 
-/** Within one run the higher sequence is newer; between runs either may be, so the first stays. */
+/**
+ * Whether a record is newer than the known one. Within one incarnation the higher sequence is
+ * newer. Records of different incarnations can't be ordered, so the known one is kept.
+ */
 function isNewer(record: MemberRecord, known: MemberRecord): boolean {
   return record.epoch === known.epoch && record.sequence > known.sequence;
 }
--- a/packages/mesh/src/mesh.test.ts
+++ b/packages/mesh/src/mesh.test.ts
@@ -21,52 +21,58 @@
   };
 }
 
-/** A whole list. */
-function whole(...members: MemberRecord[]): MemberChanges {
+/** Returns the changes that send a whole list. */
+function wholeList(...members: MemberRecord[]): MemberChanges {
   return { version: 1, changed: members, gone: [] };
 }
 
 describe('member registry', () => {
-  test(title('lists a process until it is silent for longer than its lease'), (t) => {
+  test(title('lists a process until its lease expires'), (t) => {
     const registry = new MemberRegistry();
-    registry.hear(record(), 0);
+    registry.noteAnnouncement(record(), 0);
     const { version } = registry.live(10);
-    registry.hear(record(), 1000);
+    registry.noteAnnouncement(record(), 1000);
     t.is(registry.live(1000 + MEMBER_LEASE_MS - 1).version, version);
     t.is(registry.live(1000 + MEMBER_LEASE_MS).members.length, 0);
     t.not(registry.live(1000 + MEMBER_LEASE_MS).version, version);
   });
 
-  test(title('a process whose connection closed is gone soon, unless it speaks again'), (t) => {
-    const registry = new MemberRegistry();
-    registry.hear(record(), 0);
-    registry.connectionClosed(record().name, 100);
-    t.is(registry.live(100 + CLOSED_LEASE_MS - 1).members.length, 1);
-    registry.hear(record(), 100 + CLOSED_LEASE_MS - 1);
-    t.is(registry.live(100 + CLOSED_LEASE_MS + 500).members.length, 1);
-    registry.connectionClosed(record().name, 1500);
-    t.is(registry.live(1500 + CLOSED_LEASE_MS).members.length, 0);
-  });
+  test(
+    title('removes a process soon after its connection closed, unless it announces itself'),
+    (t) => {
+      const registry = new MemberRegistry();
+      registry.noteAnnouncement(record(), 0);
+      registry.connectionClosed(record().name, 100);
+      t.is(registry.live(100 + CLOSED_LEASE_MS - 1).members.length, 1);
+      registry.noteAnnouncement(record(), 100 + CLOSED_LEASE_MS - 1);
+      t.is(registry.live(100 + CLOSED_LEASE_MS + 500).members.length, 1);
+      registry.connectionClosed(record().name, 1500);
+      t.is(registry.live(1500 + CLOSED_LEASE_MS).members.length, 0);
+    },
+  );
 
-  test(title('a late word of the same run changes nothing, a new run replaces it'), (t) => {
-    const registry = new MemberRegistry();
-    registry.hear(record({ sequence: 3, state: 'draining' }), 0);
-    registry.hear(record({ sequence: 2, state: 'ready' }), 10);
-    t.is(registry.live(10).members[0]?.state, 'draining');
-    registry.hear(record({ epoch: 'second', sequence: 1, state: 'starting' }), 20);
-    t.is(registry.live(20).members[0]?.state, 'starting');
-  });
+  test(
+    title('ignores an outdated record of the same incarnation, accepts a new incarnation'),
+    (t) => {
+      const registry = new MemberRegistry();
+      registry.noteAnnouncement(record({ sequence: 3, state: 'draining' }), 0);
+      registry.noteAnnouncement(record({ sequence: 2, state: 'ready' }), 10);
+      t.is(registry.live(10).members[0]?.state, 'draining');
+      registry.noteAnnouncement(record({ epoch: 'second', sequence: 1, state: 'starting' }), 20);
+      t.is(registry.live(20).members[0]?.state, 'starting');
+    },
+  );
 });
 
-describe('changes of a list', () => {
+describe('member changes', () => {
   test(
-    title('make the list of a reader the same as that of the register, whatever it missed'),
+    title('make the list of a reader equal to that of the registry, whatever it missed'),
     (t) => {
       const step = fc.record({
         name: fc.integer({ min: 1, max: 6 }),
-        leaves: fc.boolean(),
-        gapMs: fc.nat(900),
-        reads: fc.boolean(),
+        isRemoved: fc.boolean(),
+        elapsedMs: fc.nat(900),
+        isRead: fc.boolean(),
       });
       fc.assert(
         fc.property(fc.array(step, { maxLength: 60 }), (steps) => {
@@ -74,20 +80,22 @@
           const view = new MemberView();
           let nowMs = 0;
           let sequence = 0;
-          let known: number | undefined;
-          for (const { name, leaves, gapMs, reads } of steps) {
-            nowMs += gapMs;
+          let knownVersion: number | undefined;
+          for (const { name, isRemoved, elapsedMs, isRead } of steps) {
+            nowMs += elapsedMs;
             sequence += 1;
-            if (leaves) registry.forget(`p${name}`);
-            else registry.hear(record({ name: `p${name}`, sequence }), nowMs);
-            if (!reads) continue;
-            const changes = registry.changesSince(known, nowMs);
-            known = changes.version;
-            if (!view.hear('control', changes, nowMs)) return false;
-            const names = view.live('entry', nowMs).map((one) => `${one.name} ${one.sequence}`);
-            const expected = registry.live(nowMs).members;
-            const wanted = expected.map((one) => `${one.name} ${one.sequence}`).sort();
-            if (names.join() !== wanted.join()) return false;
+            if (isRemoved) registry.remove(`p${name}`);
+            else registry.noteAnnouncement(record({ name: `p${name}`, sequence }), nowMs);
+            if (!isRead) continue;
+            const changes = registry.changesSince(knownVersion, nowMs);
+            knownVersion = changes.version;
+            if (!view.applyChanges('control', changes, nowMs)) return false;
+            const names = view
+              .live('entry', nowMs)
+              .map((member) => `${member.name} ${member.sequence}`);
+            const members = registry.live(nowMs).members;
+            const expected = members.map((member) => `${member.name} ${member.sequence}`).sort();
+            if (names.join() !== expected.join()) return false;
           }
           return true;
         }),
@@ -97,62 +105,65 @@
     },
   );
 
-  test(title('begin with the whole list where too many departures were missed'), (t) => {
+  test(title('are the whole list if the reader missed too many departures'), (t) => {
     const registry = new MemberRegistry();
     for (let number = 0; number < 300; number += 1) {
-      registry.hear(record({ name: `p${number}` }), 0);
-      registry.forget(`p${number}`);
+      registry.noteAnnouncement(record({ name: `p${number}` }), 0);
+      registry.remove(`p${number}`);
     }
     t.is(registry.changesSince(1, 0).since, undefined);
     t.is(registry.changesSince(599, 0).since, 599);
   });
 
-  test(title('to a list that is not held are not taken'), (t) => {
+  test(title('are rejected if they apply to an unknown list'), (t) => {
     const view = new MemberView();
-    t.false(view.hear('a', { version: 3, since: 2, changed: [record()], gone: [] }, 0));
+    t.false(view.applyChanges('a', { version: 3, since: 2, changed: [record()], gone: [] }, 0));
     t.is(view.live('entry', 0).length, 0);
   });
 });
 
 describe('member view', () => {
-  test(title('a process that one control process hears is up'), (t) => {
+  test(title('a process is up if one control process lists it'), (t) => {
     const view = new MemberView();
-    view.hear('a', whole(record()), 0);
-    view.hear('b', whole(), 0);
+    view.applyChanges('a', wholeList(record()), 0);
+    view.applyChanges('b', wholeList(), 0);
     t.is(view.live('entry', 100).length, 1);
     t.is(view.live('store', 100).length, 0);
   });
 
-  test(title('a list that is not renewed gives way to fresher ones'), (t) => {
+  test(title('a list that is not renewed is ignored in favor of fresher lists'), (t) => {
     const view = new MemberView();
-    view.hear('a', whole(record()), 0);
-    view.hear('b', whole(), 5000);
+    view.applyChanges('a', wholeList(record()), 0);
+    view.applyChanges('b', wholeList(), 5000);
     t.is(view.live('entry', 5000).length, 0);
     t.true(view.isFresh(5000));
   });
 
-  test(title('without any fresh list the last ones still count'), (t) => {
+  test(title('without any fresh list the last lists are used'), (t) => {
     const view = new MemberView();
-    view.hear('a', whole(record()), 0);
+    view.applyChanges('a', wholeList(record()), 0);
     t.is(view.live('entry', 60_000).length, 1);
     t.false(view.isFresh(60_000));
-    view.hear('a', { version: 1, since: 1, changed: [], gone: [] }, 60_000);
+    view.applyChanges('a', { version: 1, since: 1, changed: [], gone: [] }, 60_000);
     t.true(view.isFresh(60_000));
   });
 });
 
 describe('member view', () => {
-  test(title('an answer that is kept follows every change, and lists that grow old'), (t) => {
-    const view = new MemberView();
-    view.hear('c1', whole(record()), 0);
-    t.is(view.live('entry', 0).length, 1);
-    t.is(view.live('entry', 10), view.live('entry', 0));
-    const second = record({ name: '10.0.0.2:7720' });
-    view.hear('c2', whole(second), 20);
-    t.is(view.live('entry', 20).length, 2);
-    view.hear('c2', { version: 2, since: 1, changed: [], gone: [second.name] }, 30);
-    t.is(view.live('entry', 30).length, 1);
-    view.hear('c2', { version: 2, since: 2, changed: [], gone: [] }, 3000);
-    t.is(view.live('entry', 3000).length, 0);
-  });
+  test(
+    title('a cached result is updated after each change, and when a list becomes stale'),
+    (t) => {
+      const view = new MemberView();
+      view.applyChanges('c1', wholeList(record()), 0);
+      t.is(view.live('entry', 0).length, 1);
+      t.is(view.live('entry', 10), view.live('entry', 0));
+      const second = record({ name: '10.0.0.2:7720' });
+      view.applyChanges('c2', wholeList(second), 20);
+      t.is(view.live('entry', 20).length, 2);
+      view.applyChanges('c2', { version: 2, since: 1, changed: [], gone: [second.name] }, 30);
+      t.is(view.live('entry', 30).length, 1);
+      view.applyChanges('c2', { version: 2, since: 2, changed: [], gone: [] }, 3000);
+      t.is(view.live('entry', 3000).length, 0);
+    },
+  );
 });
--- a/packages/mesh/src/mesh.ts
+++ b/packages/mesh/src/mesh.ts
@@ -1,52 +1,55 @@
 /**
- * Keeps a process in touch with its fleet: it announces itself to the control processes, which
- * it finds through a few seed addresses, and takes their lists of processes that are up.
+ * Membership of a process in its fleet: it announces itself to the control processes, which it
+ * discovers through a few seed addresses, and receives their lists of processes that are up.
  */
 import type { Logger } from '@shedline/logger';
 import { PeerConnections } from '@shedline/transport';
 import type { Link, LinkHandlers, PeerAddress } from '@shedline/transport';
-import { controlsToReach, isCore } from './control-choice.js';
+import { controlsToConnect, isCore } from './control-choice.js';
 import { KnownCoreMembers } from './known-core-members.js';
 import type { MemberKind, MemberRecord, MemberState } from './member-record.js';
 import { MemberRegistry } from './member-registry.js';
 import type { MemberChanges } from './member-registry.js';
 import { MemberView } from './member-view.js';
 
-/** Time between announcements; several fit into the lease of a member. */
+/** Interval between announcements; several fit into the lease of a member. */
 const ANNOUNCE_INTERVAL_MS = 400;
-/** With more control processes than this, each hears only every second announcement. */
-const CONTROLS_TOLD_AT_ONCE = 3;
-/** Changes of the list of processes within this time are told on as one. */
+/**
+ * Maximum number of control processes for which each announcement is sent to all; else each gets
+ * every second one.
+ */
+const MAX_CONTROLS_PER_HEARTBEAT = 3;
+/** Changes of the member lists within this time cause one notification. */
 const CHANGE_COALESCE_MS = 30;
 
-/** Message: a process describes itself. */
+/** Message with which a process announces its record. */
 const ANNOUNCE = 'member';
-/** Message: a process ends. */
+/** Message with which a process announces that it stops. */
 const LEAVE = 'memberLeaves';
-/** Message: what changed among the processes that a control process hears. */
+/** Message with the changes of the list of a control process. */
 const LIST = 'members';
 
 /** Options of {@link Mesh}. */
 export interface MeshOptions {
   readonly record: Omit<MemberRecord, 'sequence' | 'state'>;
   readonly secret: string;
-  /** Own IP number to connect from; the system chooses where it is left out. */
+  /** Local IP address to connect from; chosen by the system if omitted. */
   readonly localAddress?: string;
-  /** Control processes to ask first. */
+  /** Control processes to connect to first. */
   readonly seeds: readonly PeerAddress[];
-  /** Members of the core as this process has them on its disk; none where it is left out. */
+  /** Returns the members of the core stored on this process's disk; none if omitted. */
   readonly coreMembers?: () => readonly PeerAddress[];
   readonly logger: Logger;
   readonly nowMs: () => number;
-  /** Other messages and requests that come over the connections of this process. */
+  /** Handlers of other messages and requests received over the connections of this process. */
   readonly handlers?: Partial<LinkHandlers>;
-  /** Called when the connection to a control process is up. */
+  /** Called when the connection to a control process is established. */
   readonly onControlConnected?: (name: string) => void;
-  /** Called after the list of processes may have changed. */
+  /** Called when the list of processes may have changed. */
   readonly onChange?: () => void;
 }
 
-/** A process's place in its fleet. */
+/** Membership of one process in its fleet. */
 export class Mesh {
   /** Connections to the control processes. */
   readonly controls: PeerConnections;
@@ -54,17 +57,17 @@
   private readonly registry = new MemberRegistry();
   private readonly view = new MemberView();
   private readonly knownCore = new KnownCoreMembers();
-  /** Version of this process's list that each link has. */
+  /** Version of this process's list that was last sent over each link. */
   private readonly sentVersions = new WeakMap<Link, number>();
   private readonly links = new Set<Link>();
   private seeds: readonly PeerAddress[];
-  /** Seeds whose lists were taken at some time. */
-  private readonly toldBy = new Set<string>();
+  /** Names of the seeds that have sent their list at some time. */
+  private readonly seedsWithList = new Set<string>();
   private record: MemberRecord;
   private timer: NodeJS.Timeout | undefined;
-  private inTouch = false;
-  private repeats = 0;
-  private pendingChange: NodeJS.Timeout | undefined;
+  private wasInContact = false;
+  private heartbeatCount = 0;
+  private changeTimer: NodeJS.Timeout | undefined;
 
   constructor(options: MeshOptions) {
     this.options = options;
@@ -92,7 +95,7 @@
     });
   }
 
-  /** Starts to announce this process. */
+  /** Connects to the control processes and starts to announce this process. */
   start(): void {
     this.updateControls();
     this.timer = setInterval(() => {
@@ -101,105 +104,107 @@
     this.tick();
   }
 
-  /** This process as the others hear of it. */
+  /** The record with which this process announces itself. */
   get self(): MemberRecord {
     return this.record;
   }
 
-  /** Processes of a kind that are up. */
+  /** Returns the processes of a kind that are up. */
   live(kind: MemberKind): readonly MemberRecord[] {
     return this.view.live(kind, this.options.nowMs());
   }
 
-  /** Whether some control process has been heard lately. */
-  get isInTouch(): boolean {
+  /** Whether the list of some control process was received recently. */
+  get isInContact(): boolean {
     return this.view.isFresh(this.options.nowMs());
   }
 
-  /** Control processes with a disk that were up and are silent now. */
+  /** Control processes with a disk that were up and are missing from all lists now. */
   get silentCore(): readonly PeerAddress[] {
-    return this.knownCore.silent;
+    return this.knownCore.missing;
   }
 
-  /** Says that this process takes work now, or no longer does. */
+  /** Announces whether this process accepts work. */
   setState(state: MemberState): void {
     this.update({ state });
   }
 
-  /** Changes what this process says of itself. */
+  /** Changes the record of this process and announces it. */
   update(change: Partial<MemberRecord>): void {
     this.record = { ...this.record, ...change, sequence: this.record.sequence + 1 };
     this.announce();
   }
 
-  /** Takes other seeds, after the settings changed. */
+  /** Replaces the seeds after the settings changed. */
   setSeeds(seeds: readonly PeerAddress[]): void {
     this.seeds = seeds;
-    this.toldBy.clear();
+    this.seedsWithList.clear();
     this.updateControls();
   }
 
-  /** Takes a message that arrived over a connection; false where it is not about members. */
+  /** Handles a message received over a connection; returns false if it is not about membership. */
   receive(method: string, payload: unknown, link: Link): boolean {
     const nowMs = this.options.nowMs();
     if (method === ANNOUNCE) {
       this.links.add(link);
-      this.registry.hear(payload as MemberRecord, nowMs);
+      this.registry.noteAnnouncement(payload as MemberRecord, nowMs);
       this.sendChanges(link);
       return true;
     }
     if (method === LEAVE) {
-      this.registry.forget(payload as string);
+      this.registry.remove(payload as string);
       return true;
     }
     if (method === LIST) {
-      this.takeChanges(payload as MemberChanges, link);
+      this.applyChanges(payload as MemberChanges, link);
       return true;
     }
     return false;
   }
 
-  /** Tells the control processes that this process ends, and closes the connections. */
+  /** Announces to the control processes that this process stops, and closes the connections. */
   stop(): void {
     clearInterval(this.timer);
-    clearTimeout(this.pendingChange);
+    clearTimeout(this.changeTimer);
     for (const control of this.controls.ready) control.send(LEAVE, this.record.name);
-    // The message goes out before the connection closes.
+    // Deferred so that the message is sent before the connection closes.
     setImmediate(() => {
       this.controls.close();
     });
   }
 
   private tick(): void {
-    this.repeat();
+    this.sendHeartbeat();
     if (this.record.kind === 'control') {
-      if (!isCore(this.record)) this.tellOfCore();
+      if (!isCore(this.record)) this.registerCore();
       this.sendLists();
     }
     this.updateControls();
-    this.noteTouch();
+    this.logContactChange();
     this.options.onChange?.();
   }
 
   private announce(): void {
     if (this.record.kind === 'control') {
       const nowMs = this.options.nowMs();
-      this.registry.hear(this.record, nowMs);
-      this.view.hear(this.record.name, this.registry.changesSince(undefined, nowMs), nowMs);
+      this.registry.noteAnnouncement(this.record, nowMs);
+      this.view.applyChanges(this.record.name, this.registry.changesSince(undefined, nowMs), nowMs);
     }
     for (const control of this.controls.ready) control.send(ANNOUNCE, this.record);
   }
 
-  /** A sign of life that tells nothing new; where there are many to tell, by turns. */
-  private repeat(): void {
+  /**
+   * Announces the unchanged record; with many control processes, alternately to one half of them.
+   */
+  private sendHeartbeat(): void {
     const { ready } = this.controls;
-    if (ready.length <= CONTROLS_TOLD_AT_ONCE || this.record.kind === 'control') {
+    if (ready.length <= MAX_CONTROLS_PER_HEARTBEAT || this.record.kind === 'control') {
       this.announce();
       return;
     }
-    this.repeats += 1;
+    this.heartbeatCount += 1;
     for (const [index, control] of ready.entries()) {
-      if ((index + this.repeats) % 2 === 0) control.send(ANNOUNCE, this.record);
+      if ((index + this.heartbeatCount) % 2 === 0) control.send(ANNOUNCE, this.record);
     }
   }
 
@@ -207,22 +212,25 @@
     this.controls.get(name)?.send(ANNOUNCE, this.record);
   }
 
-  private noteTouch(): void {
-    const { isInTouch } = this;
-    if (isInTouch === this.inTouch) return;
-    this.inTouch = isInTouch;
-    const text = isInTouch ? 'in touch with the fleet' : 'out of touch with all control processes';
+  private logContactChange(): void {
+    const { isInContact } = this;
+    if (isInContact === this.wasInContact) return;
+    this.wasInContact = isInContact;
+    const text = isInContact ? 'connected to the fleet' : 'lost contact with all control processes';
     this.options.logger.info(text, { step: 'join', controls: this.controls.ready.length });
   }
 
-  /** Keeps connections to the core, be it silent, and to the seeds until that is found. */
+  /**
+   * Keeps connections to the core, including its missing members, and to the seeds until the core
+   * is connected.
+   */
   private updateControls(): void {
     const controls = this.live('control');
-    this.noteCore(controls);
-    const wanted = controlsToReach({
+    this.updateKnownCore(controls);
+    const wanted = controlsToConnect({
       seeds: this.seeds,
-      hasTold: (name) => this.toldBy.has(name) || name === this.record.name,
-      lastingCore: [...this.knownCore.silent, ...(this.options.coreMembers?.() ?? [])],
+      hasSentList: (name) => this.seedsWithList.has(name) || name === this.record.name,
+      persistentCore: [...this.knownCore.missing, ...(this.options.coreMembers?.() ?? [])],
       controls,
       isConnected: (name) => this.controls.get(name)?.isReady === true,
     });
@@ -230,26 +238,28 @@
     this.controls.keepOnly(new Set(wanted.map(({ name }) => name)));
   }
 
-  private noteCore(controls: readonly MemberRecord[]): void {
+  private updateKnownCore(controls: readonly MemberRecord[]): void {
     const { logger, nowMs } = this.options;
-    const { silent, reappeared } = this.knownCore.note(controls, nowMs());
-    for (const peer of silent) logger.info('control process silent', { step: 'join', peer });
+    const { missing, reappeared } = this.knownCore.update(controls, nowMs());
+    for (const peer of missing)
+      logger.info('control process missing from all member lists', { step: 'join', peer });
     for (const { name: peer, silentMs } of reappeared) {
-      logger.info('control process heard again', { step: 'join', peer, silentMs });
+      logger.info('control process listed again', { step: 'join', peer, silentMs });
     }
   }
 
   /**
-   * A control process outside the core tells of the core to whoever has only this one as a seed: it is
-   * announced to by nobody else.
+   * Registers the core in this process's own list. The core does not announce itself to a control
+   * process outside the core, whose list would otherwise not lead processes that have only it as a
+   * seed to the core.
    */
-  private tellOfCore(): void {
+  private registerCore(): void {
     const nowMs = this.options.nowMs();
     const core = this.view.liveExcept('control', this.record.name, nowMs).filter(isCore);
-    for (const record of core) this.registry.hear(record, nowMs);
+    for (const record of core) this.registry.noteAnnouncement(record, nowMs);
   }
 
-  /** Tells the connected processes what changed, and notes connections that closed. */
+  /** Sends list changes to the connected processes, and handles connections that closed. */
   private sendLists(): void {
     const nowMs = this.options.nowMs();
     const version = this.registry.versionAt(nowMs);
@@ -259,8 +269,8 @@
         continue;
       }
       this.links.delete(link);
-      const isBack = [...this.links].some((other) => other.peerName === link.peerName);
-      if (!isBack) this.registry.connectionClosed(link.peerName, nowMs);
+      const hasReconnected = [...this.links].some((other) => other.peerName === link.peerName);
+      if (!hasReconnected) this.registry.connectionClosed(link.peerName, nowMs);
     }
   }
 
@@ -270,35 +280,39 @@
     this.sentVersions.set(link, changes.version);
   }
 
-  private takeChanges(changes: MemberChanges, link: Link): void {
-    if (!this.view.hear(link.peerName, changes, this.options.nowMs())) {
-      this.options.logger.info('list of processes does not fit, asks for the whole', {
-        step: 'join',
-        peer: link.peerName,
-        version: changes.version,
-      });
-      // The next connection begins with the whole list.
+  private applyChanges(changes: MemberChanges, link: Link): void {
+    if (!this.view.applyChanges(link.peerName, changes, this.options.nowMs())) {
+      this.options.logger.info(
+        'member list changes do not match the known version; requesting the whole list',
+        {
+          step: 'join',
+          peer: link.peerName,
+          version: changes.version,
+        },
+      );
+      // After the reconnection the peer sends the whole list.
       link.terminate();
       return;
     }
-    if (this.seeds.some(({ name }) => name === link.peerName)) this.toldBy.add(link.peerName);
+    if (this.seeds.some(({ name }) => name === link.peerName))
+      this.seedsWithList.add(link.peerName);
     if (changes.changed.length === 0 && changes.gone.length === 0) return;
     this.updateControls();
-    this.tellSoon();
+    this.scheduleChangeNotice();
   }
 
-  /** Every control process tells of the same change; they are told on together. */
-  private tellSoon(): void {
-    this.pendingChange ??= setTimeout(() => {
-      this.pendingChange = undefined;
+  /** Defers the notification, as every control process sends the same change. */
+  private scheduleChangeNotice(): void {
+    this.changeTimer ??= setTimeout(() => {
+      this.changeTimer = undefined;
       this.options.onChange?.();
     }, CHANGE_COALESCE_MS);
   }
 
   private async onRequest(method: string, payload: unknown, link: Link): Promise<unknown> {
-    const answer = this.options.handlers?.onRequest;
-    if (answer === undefined) throw new Error(`this process answers no ${method}`);
-    return answer(method, payload, link);
+    const handler = this.options.handlers?.onRequest;
+    if (handler === undefined) throw new Error(`this process has no handler for ${method}`);
+    return handler(method, payload, link);
   }
 
   private onMessage(method: string, payload: unknown, link: Link): void {
