--- a/packages/http-connector/src/index.test.ts
+++ b/packages/http-connector/src/index.test.ts
@@ -1,12 +1,9 @@
 /**
- * A caller could get part of an answer as the whole of it.
- *
- * 1. An endpoint sends an answer without a length, which ends with its connection, and breaks it off by a reset.
- * 2. The process that reads is busy: the last bytes and the reset are there when it looks.
- * 3. The runtime reads the bytes and then reports an end, not the reset; the answer counts as whole.
- *
- * Evidence: with bytes and reset in one turn the reader gets `data`, `end` and no error each time; a write at `end`
- * fails with ECONNRESET then, and with nothing where the connection was closed in order.
+ * Guards against a truncated response that counts as complete. An endpoint sends a response without
+ * a length, which ends with its connection, and resets the connection. If the last bytes and the
+ * reset are both pending when the reader polls the socket, the runtime emits `data` and `end` but
+ * no error. A write at `end` then fails with ECONNRESET; it does not fail if the connection was
+ * closed in order.
  */
 import { createServer } from 'node:net';
 import type { AddressInfo, Socket } from 'node:net';
@@ -17,7 +14,7 @@
 
 const UNFRAMED = 'HTTP/1.1 200 OK\r\n\r\npart';
 
-/** `reset`: once the reader has the bytes; `resetWithBytes`: before it looks. */
+/** `reset`: after the reader received the bytes; `resetWithBytes`: before it polls the socket. */
 type Ending = 'end' | 'reset' | 'resetWithBytes';
 
 async function textFrom(ending: Ending): Promise<string> {
@@ -38,9 +35,9 @@
   const { port } = server.address() as AddressInfo;
   const dispatcher = new Agent({ connect: connectorWithin(1000) });
   try {
-    const answer = await request(`http://127.0.0.1:${port}/`, { dispatcher });
+    const response = await request(`http://127.0.0.1:${port}/`, { dispatcher });
     let text = '';
-    for await (const bytes of answer.body) {
+    for await (const bytes of response.body) {
       text += String(bytes);
       if (ending === 'reset') for (const socket of sockets) socket.resetAndDestroy();
     }
@@ -52,11 +49,14 @@
 }
 
 describe('connector', () => {
-  test(title('an answer without length is whole if its connection closed in order'), async (t) => {
-    t.is(await textFrom('end'), 'part');
-  });
+  test(
+    title('a response without a length is complete if its connection closed in order'),
+    async (t) => {
+      t.is(await textFrom('end'), 'part');
+    },
+  );
 
-  test(title('one whose connection was reset is an error'), async (t) => {
+  test(title('a response whose connection was reset is an error'), async (t) => {
     await t.throwsAsync(textFrom('reset'));
   });
 
--- a/packages/http-connector/src/index.ts
+++ b/packages/http-connector/src/index.ts
@@ -1,9 +1,9 @@
 /**
- * Connections of the HTTP client that report a reset as an error.
+ * Connector for the HTTP client undici that reports a connection reset as an error.
  */
 import { buildConnector } from 'undici';
 
-/** A connector that gives up opening a connection after `timeoutMs`. */
+/** Returns a connector that stops opening a connection after `timeoutMs`. */
 export function connectorWithin(timeoutMs: number): buildConnector.connector {
   const connect = buildConnector({ timeout: timeoutMs });
   return (options, callback) => {
@@ -16,8 +16,9 @@
 }
 
 /**
- * The client takes an answer without a length for complete when its connection is reset
- * (`ECONNRESET`); only one that was closed in order is. Under another code it reports the error.
+ * Replaces the error code `ECONNRESET`. With that code the client treats a response without a
+ * length as complete, although it is complete only if its connection was closed in order; with any
+ * other code the client reports the error.
  */
 function relabelReset(error: NodeJS.ErrnoException): void {
   if (error.code === 'ECONNRESET') error.code = 'CONNECTION_RESET';
