--- a/packages/forwarding/src/forwarded-request.ts
+++ b/packages/forwarding/src/forwarded-request.ts
@@ -114,7 +114,10 @@
     return heldMs > 0 ? this.refuseQuarantined(heldMs) : this.plan.first();
   }
 
-  /** If the request was not executed yet, its caller is told to retry after the quarantine. */
+  /**
+   * Gives up a request whose content is quarantined. If it was not executed yet, its caller is
+   * asked to retry after the quarantine.
+   */
   private refuseQuarantined(remainingMs: number): PlanStep {
     this.log.quarantined(this.content.key, this.content.crashes, remainingMs);
     return this.plan.giveUp(this.options.nowMs(), remainingMs);
@@ -156,7 +159,10 @@
     return endpoint;
   }
 
-  /** Callers abandon a stream without events long before their deadline, at its start or later. */
+  /**
+   * Returns the time by which a stream has to start or continue: callers abandon a stream without
+   * events long before their deadline.
+   */
   private streamStartLimit(): { readonly beginByMs?: number } {
     const { route, arrivedAtMs } = this.task;
     if (route.kind !== 'stream') return {};
--- a/packages/mesh/src/member-view.ts
+++ b/packages/mesh/src/member-view.ts
@@ -1,13 +1,13 @@
 /**
- * The processes that are up according to the lists of several control processes. A process
- * disappears only from all of them, as a single control process may be partitioned from it.
+ * The processes that are up according to the lists of several control processes. A process counts
+ * as up if any list contains it, as a single control process may be partitioned from it.
  */
 import type { MemberKind, MemberRecord } from './member-record.js';
 import type { MemberChanges } from './member-registry.js';
 
 /**
- * Time without changes from a control process after which its list is ignored in favor of fresher
- * lists.
+ * Time since the last list message of a control process after which its list is ignored if others
+ * are fresh.
  */
 const LIST_LEASE_MS = 2600;
 
--- a/packages/mesh/src/mesh.ts
+++ b/packages/mesh/src/mesh.ts
@@ -15,8 +15,8 @@
 /** Interval between announcements; several fit into the lease of a member. */
 const ANNOUNCE_INTERVAL_MS = 400;
 /**
- * Maximum number of control processes for which each announcement is sent to all; else each gets
- * every second one.
+ * Number of control processes up to which each heartbeat is sent to all of them; with more, each
+ * gets every second heartbeat.
  */
 const MAX_CONTROLS_PER_HEARTBEAT = 3;
 /** Changes of the member lists within this time cause one notification. */
@@ -249,9 +249,9 @@
   }
 
   /**
-   * Registers the core in this process's own list. The core does not announce itself to a control
-   * process outside the core, whose list would otherwise not lead processes that have only it as a
-   * seed to the core.
+   * Adds the core to the list of this control process, which is outside the core and gets no
+   * announcements of it. Processes that have only this one as a seed discover the core through this
+   * list.
    */
   private registerCore(): void {
     const nowMs = this.options.nowMs();
