--- a/packages/directory/src/directory.test.ts
+++ b/packages/directory/src/directory.test.ts
@@ -2,7 +2,7 @@
 import fc from 'fast-check';
 import { describe, seededRandom, title } from '@shedline/test-utils';
 import type { Announcement } from '@shedline/types';
-import { cellOfEndpoint, planCells } from './cells.js';
+import { cellOfEndpoint, planCells } from './observer-sets.js';
 import { EndpointDirectory } from './endpoint-directory.js';
 import { EntryMembership } from './entry-membership.js';
 import type { OutgoingMessage } from './entry-membership.js';
@@ -29,7 +29,7 @@
 
 describe('EndpointDirectory', () => {
   test(
-    title('gives no work to an endpoint that left or whose lease lapsed, in any order of messages'),
+    title('an endpoint that drains or whose lease expired is not usable, in any order of messages'),
     (t) => {
       const message = fc.record({
         incarnation: fc.integer({ min: 1, max: 3 }),
@@ -41,24 +41,24 @@
       fc.assert(
         fc.property(fc.array(message, { maxLength: 30 }), (messages) => {
           const directory = new EndpointDirectory({ leaseMs: LEASE_MS });
-          const left = new Set<number>();
+          const drained = new Set<number>();
           let nowMs = 0;
-          let freshestMs = -Infinity;
+          let newestMs = -Infinity;
           let last = { incarnation: 0, sequence: 0 };
           for (const { ageMs, gapMs, ...fields } of messages) {
             nowMs += gapMs;
-            const taken = directory.observe(announcement(fields), ageMs, nowMs);
+            const isApplied = directory.observe(announcement(fields), ageMs, nowMs);
             const isNewer =
               fields.incarnation > last.incarnation ||
               (fields.incarnation === last.incarnation && fields.sequence > last.sequence);
-            t.is(taken, isNewer);
-            if (taken) {
-              if (fields.incarnation !== last.incarnation) freshestMs = -Infinity;
+            t.is(isApplied, isNewer);
+            if (isApplied) {
+              if (fields.incarnation !== last.incarnation) newestMs = -Infinity;
               last = fields;
-              freshestMs = Math.max(freshestMs, nowMs - ageMs);
-              if (fields.leaving) left.add(fields.incarnation);
+              newestMs = Math.max(newestMs, nowMs - ageMs);
+              if (fields.leaving) drained.add(fields.incarnation);
             }
-            const expected = !left.has(last.incarnation) && nowMs - freshestMs < LEASE_MS;
+            const expected = !drained.has(last.incarnation) && nowMs - newestMs < LEASE_MS;
             t.is(directory.isUsable('e1', nowMs), expected);
             t.false(directory.isUsable('e1', nowMs + LEASE_MS + 1));
           }
@@ -69,9 +69,7 @@
   );
 
   test(
-    title(
-      'ejects a failing endpoint, probes it alone, and never ejects more than its share of the pool',
-    ),
+    title('ejects and probes a failing endpoint, within the maximum ejected share of the pool'),
     (t) => {
       const directory = new EndpointDirectory();
       for (let n = 1; n <= 6; n += 1)
@@ -90,7 +88,7 @@
     },
   );
 
-  test(title('a probe keeps an endpoint to itself only until its answer begins'), (t) => {
+  test(title('a probe excludes other requests only until its response begins'), (t) => {
     const directory = new EndpointDirectory({ failuresToEject: 1 });
     for (let n = 1; n <= 6; n += 1) directory.observe(announcement({ endpointId: `e${n}` }), 0, 0);
     directory.failed('e1', 0);
@@ -111,7 +109,9 @@
   });
 
   test(
-    title('ejects an endpoint much slower than its pool and lets a newcomer start slowly'),
+    title(
+      'ejects an endpoint much slower than its pool, and limits a new endpoint during slow start',
+    ),
     (t) => {
       const directory = new EndpointDirectory({ slowStartMs: 1000 });
       for (let n = 1; n <= 4; n += 1)
@@ -127,7 +127,7 @@
   );
 });
 
-/** Runs entries over a network that loses messages; `down` take and send nothing. */
+/** Simulates entries on a network that loses messages; those in `down` neither send nor receive. */
 class Fleet {
   readonly names: string[];
   readonly down = new Set<string>();
@@ -154,7 +154,7 @@
     }
   }
 
-  /** Live entries as each entry that is up sees them. */
+  /** The live entries as seen by each entry that is up. */
   views(): string[][] {
     return this.names
       .filter((name) => !this.down.has(name))
@@ -173,7 +173,9 @@
 
 describe('EntryMembership', () => {
   test(
-    title('finds lost entries, keeps the others through lost messages, and takes the lost back'),
+    title(
+      'detects lost entries, keeps the others despite lost messages, and readmits those that restart',
+    ),
     (t) => {
       for (let seed = 1; seed <= 10; seed += 1) {
         const fleet = new Fleet(12, seededRandom(seed), 0.05);
@@ -190,7 +192,7 @@
     },
   );
 
-  test(title('sends no more messages an entry in a larger fleet'), (t) => {
+  test(title('the messages per entry do not grow with the fleet'), (t) => {
     const rate = (count: number): number => {
       const fleet = new Fleet(count, seededRandom(1), 0);
       fleet.run(20_000);
@@ -200,7 +202,7 @@
   });
 });
 
-describe('cells', () => {
+describe('observer sets', () => {
   const entries = (count: number) =>
     Array.from({ length: count }, (_, index) => ({
       name: `e${index}`,
@@ -208,18 +210,18 @@
     }));
 
   test(
-    title('a small fleet is one cell; a large one has cells of bounded size within a zone'),
+    title('a small fleet is one set; a large fleet has sets of bounded size within one zone'),
     (t) => {
       t.is(planCells(entries(12), 12).size, 1);
-      const cells = planCells(entries(360), 12);
-      t.is([...cells.values()].flat().length, 360);
-      for (const [cell, members] of cells) {
+      const sets = planCells(entries(360), 12);
+      t.is([...sets.values()].flat().length, 360);
+      for (const [id, members] of sets) {
         t.true(members.length <= 12);
         for (const member of members)
-          t.is(`z${Number(member.slice(1)) % 3}`, cell.split('/')[0] ?? '');
+          t.is(`z${Number(member.slice(1)) % 3}`, id.split('/')[0] ?? '');
       }
-      t.true(cellOfEndpoint(cells, 'engine-5', 'z2').startsWith('z2/'));
-      t.not(cellOfEndpoint(cells, 'engine-5', 'elsewhere'), '');
+      t.true(cellOfEndpoint(sets, 'engine-5', 'z2').startsWith('z2/'));
+      t.not(cellOfEndpoint(sets, 'engine-5', 'elsewhere'), '');
     },
   );
 });
--- a/packages/directory/src/endpoint-directory.ts
+++ b/packages/directory/src/endpoint-directory.ts
@@ -1,24 +1,24 @@
 /**
- * What an entry knows of the endpoints: announcements with leases, incarnations, suspicion
- * and ejection. Ages travel with announcements, so no wall clock of another is trusted.
+ * An entry's view of the endpoints: announcements with leases, incarnations, outlier ejection and
+ * slow start. Announcements carry their age, so the wall clock of another process is never trusted.
  */
 import type { Announcement } from '@shedline/types';
 import type { LeaseClock } from './lease-clock.js';
 
 /** Options of {@link EndpointDirectory}. */
 export interface EndpointDirectoryOptions {
-  /** Time that an announcement is good for. */
+  /** Time for which an announcement is valid. */
   readonly leaseMs?: number;
-  /** Time over which a new endpoint takes its full share. */
+  /** Time after which a new endpoint receives its full share of requests. */
   readonly slowStartMs?: number;
   /** Share of the endpoints of one pool that may be ejected at once. */
   readonly maxEjectedShare?: number;
-  /** Failures in a row that eject an endpoint. */
+  /** Consecutive failures that eject an endpoint. */
   readonly failuresToEject?: number;
   readonly firstEjectionMs?: number;
-  /** First-token latency, as a multiple of the pool's median, that ejects an endpoint. */
+  /** First-token latency, as a multiple of the pool's median, above which an endpoint is ejected. */
   readonly slowFactor?: number;
-  /** Clock by which leases run out; the steady clock where it is left out. */
+  /** Clock by which leases expire; the steady clock if omitted. */
   readonly leaseClock?: Pick<LeaseClock, 'at'>;
 }
 
@@ -26,9 +26,11 @@
 const LATENCY_SMOOTHING = 0.2;
 const MIN_LATENCY_SAMPLES = 8;
 const MIN_SLOW_START_SHARE = 0.1;
-/** Time that an endpoint is remembered after its lease ran out, so that old words stay old. */
-const FORGET_AFTER_MS = 600_000;
-/** A lapse this short, seen by a request that failed, asks for a probe. */
+/**
+ * Time for which an endpoint is kept after its announcement, so that stale announcements are still
+ * recognised as older.
+ */
+const REMOVE_AFTER_MS = 600_000;
 const DEFAULT_OPTIONS: Required<EndpointDirectoryOptions> = {
   leaseMs: 3000,
   slowStartMs: 5000,
@@ -39,7 +41,7 @@
   leaseClock: { at: (nowMs) => nowMs },
 };
 
-/** The short form of a heartbeat. */
+/** A heartbeat with only the fields that change between heartbeats. */
 export interface Heartbeat {
   readonly endpointId: string;
   readonly incarnation: number;
@@ -48,53 +50,56 @@
   readonly waiting: number;
 }
 
-/** An endpoint as an entry knows it. */
+/** An endpoint as known to this entry. */
 export interface KnownEndpoint {
   readonly announcement: Announcement;
-  /** Time on the clock of leases at which the announcement was made. */
+  /** Time of the announcement, on the lease clock. */
   readonly announcedAtMs: number;
-  /** Time at which this incarnation was first heard of. */
-  readonly firstHeardAtMs: number;
+  /** Time at which this incarnation was first announced, on the lease clock. */
+  readonly firstSeenAtMs: number;
 }
 
-interface Entry {
+interface EndpointRecord {
   announcement: Announcement;
   announcedAtMs: number;
-  firstHeardAtMs: number;
-  failuresInRow: number;
+  firstSeenAtMs: number;
+  consecutiveFailures: number;
   ejectedUntilMs: number;
-  /** On the clock of leases: its process has ended, and it was not heard since. */
-  endedAtMs: number;
+  /** Time at which the process ended, on the lease clock; a later announcement overrides it. */
+  processEndedAtMs: number;
+  /** Ejections since the last success; each doubles the ejection time. */
   ejections: number;
-  probing: boolean;
+  /** Whether a probe is in flight, during which no other request is sent. */
+  isProbing: boolean;
+  /** Moving average of the first-token latency. */
   latencyMs: number;
   latencySamples: number;
 }
 
-/** Endpoints with their leases. */
+/** The endpoints with their leases and health. */
 export class EndpointDirectory {
   private readonly options: Required<EndpointDirectoryOptions>;
-  private readonly entries = new Map<string, Entry>();
+  private readonly records = new Map<string, EndpointRecord>();
 
   constructor(options: EndpointDirectoryOptions = {}) {
     this.options = { ...DEFAULT_OPTIONS, ...options };
   }
 
-  /** Endpoints remembered, with or without a lease. */
+  /** Number of known endpoints, with or without a lease. */
   get size(): number {
-    return this.entries.size;
+    return this.records.size;
   }
 
   /**
-   * Takes an announcement that was made `ageMs` ago. False where something newer is known.
-   * Once an incarnation has said that it leaves, nothing brings that incarnation back.
+   * Applies an announcement that was made `ageMs` ago. Returns false if a newer announcement is known.
+   * An incarnation that has announced that it drains never becomes usable again.
    */
   observe(announcement: Announcement, ageMs: number, nowMs: number): boolean {
-    const known = this.entries.get(announcement.endpointId);
+    const known = this.records.get(announcement.endpointId);
     if (known !== undefined && !isNewer(announcement, known.announcement)) return false;
     const announcedAtMs = this.options.leaseClock.at(nowMs) - ageMs;
     if (known?.announcement.incarnation !== announcement.incarnation) {
-      this.entries.set(announcement.endpointId, freshEntry(announcement, announcedAtMs));
+      this.records.set(announcement.endpointId, newRecord(announcement, announcedAtMs));
       return true;
     }
     const leaving = known.announcement.leaving || announcement.leaving;
@@ -104,151 +109,162 @@
   }
 
   /**
-   * Takes the short form of a heartbeat, which tells only what changes from one to the next.
-   * False where something newer, or not this incarnation, is known.
+   * Applies a heartbeat, which carries only the fields that change. Returns false if a newer
+   * announcement, or not this incarnation, is known.
    */
-  beat(beat: Heartbeat, ageMs: number, nowMs: number): boolean {
-    const known = this.entries.get(beat.endpointId)?.announcement;
-    if (known?.incarnation !== beat.incarnation) return false;
-    const load = { running: beat.running, waiting: beat.waiting, capacity: known.load.capacity };
-    return this.observe({ ...known, sequence: beat.sequence, load }, ageMs, nowMs);
+  beat(heartbeat: Heartbeat, ageMs: number, nowMs: number): boolean {
+    const known = this.records.get(heartbeat.endpointId)?.announcement;
+    if (known?.incarnation !== heartbeat.incarnation) return false;
+    const load = {
+      running: heartbeat.running,
+      waiting: heartbeat.waiting,
+      capacity: known.load.capacity,
+    };
+    return this.observe({ ...known, sequence: heartbeat.sequence, load }, ageMs, nowMs);
   }
 
-  /** Time since an endpoint was announced, on the clock of leases. */
+  /** Returns the time since an endpoint was announced, on the lease clock. */
   ageMs({ announcedAtMs }: Pick<KnownEndpoint, 'announcedAtMs'>, nowMs: number): number {
     return this.options.leaseClock.at(nowMs) - announcedAtMs;
   }
 
-  /** An endpoint by id. */
   get(endpointId: string): KnownEndpoint | undefined {
-    return this.entries.get(endpointId);
+    return this.records.get(endpointId);
   }
 
-  /** Whether new work may go to an endpoint. */
+  /** Whether new requests may be sent to an endpoint. */
   isUsable(endpointId: string, nowMs: number): boolean {
-    const entry = this.entries.get(endpointId);
-    return entry !== undefined && this.hasLease(entry, nowMs) && this.isAdmitted(entry, nowMs);
+    const record = this.records.get(endpointId);
+    return record !== undefined && this.hasLease(record, nowMs) && this.isAdmitted(record, nowMs);
   }
 
-  /** Endpoints that new work for a model may go to. */
+  /** Returns the endpoints that may receive new requests for a model. */
   forModel(model: string, nowMs: number): KnownEndpoint[] {
-    return this.usable(nowMs, (announcement) => announcement.models.includes(model));
+    return this.usableEndpoints(nowMs, (announcement) => announcement.models.includes(model));
   }
 
-  /** Endpoints that new work for a plain service may go to. */
+  /** Returns the endpoints that may receive new requests for a plain service. */
   forService(service: string, nowMs: number): KnownEndpoint[] {
-    return this.usable(nowMs, (announcement) => announcement.services.includes(service));
+    return this.usableEndpoints(nowMs, (announcement) => announcement.services.includes(service));
   }
 
-  /** One endpoint, if new work for a plain service may go to it. */
+  /** Returns an endpoint if it may receive new requests for a plain service. */
   oneForService(endpointId: string, service: string, nowMs: number): KnownEndpoint | undefined {
-    const entry = this.entries.get(endpointId);
-    if (entry?.announcement.services.includes(service) !== true) return undefined;
-    return this.hasLease(entry, nowMs) && this.isAdmitted(entry, nowMs) ? entry : undefined;
+    const record = this.records.get(endpointId);
+    if (record?.announcement.services.includes(service) !== true) return undefined;
+    return this.hasLease(record, nowMs) && this.isAdmitted(record, nowMs) ? record : undefined;
   }
 
-  /** All endpoints that hold their lease, whether or not they take new work. */
+  /** Returns all endpoints that hold their lease, whether or not they are ejected or draining. */
   live(nowMs: number): KnownEndpoint[] {
-    return [...this.entries.values()].filter(
-      (entry) => this.ageMs(entry, nowMs) < this.options.leaseMs,
+    return [...this.records.values()].filter(
+      (record) => this.ageMs(record, nowMs) < this.options.leaseMs,
     );
   }
 
-  /** Share of its full load that a newcomer takes, from a tenth to one. */
+  /** Returns the share of its full load that an endpoint receives in slow start, from 0.1 to 1. */
   slowStartShare(endpointId: string, nowMs: number): number {
-    const entry = this.entries.get(endpointId);
-    if (entry === undefined) return MIN_SLOW_START_SHARE;
-    const share = (nowMs - entry.firstHeardAtMs) / this.options.slowStartMs;
+    const record = this.records.get(endpointId);
+    if (record === undefined) return MIN_SLOW_START_SHARE;
+    const share = (nowMs - record.firstSeenAtMs) / this.options.slowStartMs;
     return Math.min(1, Math.max(MIN_SLOW_START_SHARE, share));
   }
 
-  /** Notes a request that went well, with its first-token latency where it has one. */
+  /** Records a successful request, with its first-token latency if there is one. */
   succeeded(endpointId: string, latencyMs: number | undefined, nowMs: number): void {
-    const entry = this.entries.get(endpointId);
-    if (entry === undefined) return;
-    // Requests sent before the ejection may still end well; they do not undo it.
-    if (nowMs < entry.ejectedUntilMs) return;
-    entry.failuresInRow = 0;
-    entry.probing = false;
-    entry.ejections = 0;
+    const record = this.records.get(endpointId);
+    if (record === undefined) return;
+    // Requests sent before the ejection may still succeed; they do not undo it.
+    if (nowMs < record.ejectedUntilMs) return;
+    record.consecutiveFailures = 0;
+    record.isProbing = false;
+    record.ejections = 0;
     if (latencyMs === undefined) return;
-    const weight = entry.latencySamples === 0 ? 1 : LATENCY_SMOOTHING;
-    entry.latencyMs += weight * (latencyMs - entry.latencyMs);
-    entry.latencySamples += 1;
-    if (this.isSlow(entry, nowMs)) this.eject(entry, nowMs);
+    const weight = record.latencySamples === 0 ? 1 : LATENCY_SMOOTHING;
+    record.latencyMs += weight * (latencyMs - record.latencyMs);
+    record.latencySamples += 1;
+    if (this.isSlow(record, nowMs)) this.eject(record, nowMs);
   }
 
-  /** Notes a request that the endpoint failed. */
+  /** Records a request that the endpoint failed. */
   failed(endpointId: string, nowMs: number): void {
-    const entry = this.entries.get(endpointId);
-    if (entry === undefined) return;
-    entry.failuresInRow += 1;
-    const probeFailed = entry.probing;
-    entry.probing = false;
-    if (probeFailed || entry.failuresInRow >= this.options.failuresToEject)
-      this.eject(entry, nowMs);
+    const record = this.records.get(endpointId);
+    if (record === undefined) return;
+    record.consecutiveFailures += 1;
+    const isFailedProbe = record.isProbing;
+    record.isProbing = false;
+    if (isFailedProbe || record.consecutiveFailures >= this.options.failuresToEject)
+      this.eject(record, nowMs);
   }
 
   /**
-   * Notes that the process of an endpoint has ended: it takes nothing until it is heard again, however many
-   * others are out. Ejected for 0.8 s, and not at all beyond a third, 12 endpoints of which 5 had ended drew
-   * 141 sends in 3 s to closed ports, and requests were refused though others were up.
+   * Records that the process of an endpoint has ended: it receives no requests until it is announced
+   * again, however many others are ejected. The usual ejection does not suffice here: with 0.8 s and at
+   * most a third of the pool, 12 endpoints of which 5 had ended drew 141 attempts to closed ports in
+   * 3 s, and requests were refused although other endpoints were up.
    */
   ended(endpointId: string, nowMs: number): void {
-    const entry = this.entries.get(endpointId);
-    if (entry !== undefined) entry.endedAtMs = this.options.leaseClock.at(nowMs);
+    const record = this.records.get(endpointId);
+    if (record !== undefined) record.processEndedAtMs = this.options.leaseClock.at(nowMs);
   }
 
-  /** Notes that a request went out; after an ejection it is the one probe. */
+  /** Records that a request was sent; after an ejection it is the only probe. */
   sent(endpointId: string): void {
-    const entry = this.entries.get(endpointId);
-    if (entry !== undefined && entry.ejections > 0) entry.probing = true;
+    const record = this.records.get(endpointId);
+    if (record !== undefined && record.ejections > 0) record.isProbing = true;
   }
 
-  /** Notes that the answer to a request has begun: a probe that long is not waited for to its end. */
+  /** Records that a response has begun; other requests need not wait until a probe completes. */
   answers(endpointId: string): void {
     this.inconclusive(endpointId);
   }
 
-  /** Notes that a probe ended without telling anything, as when its caller went away. */
+  /** Records that a probe ended without a result, for example because its caller disconnected. */
   inconclusive(endpointId: string): void {
-    const entry = this.entries.get(endpointId);
-    if (entry !== undefined) entry.probing = false;
+    const record = this.records.get(endpointId);
+    if (record !== undefined) record.isProbing = false;
   }
 
-  /** Forgets an endpoint that is known to be gone. */
+  /** Removes an endpoint that is known to have stopped. */
   forget(endpointId: string): void {
-    this.entries.delete(endpointId);
+    this.records.delete(endpointId);
   }
 
-  /** Forgets endpoints that have long been silent. */
+  /** Removes endpoints that have not been announced for a long time. */
   forgetSilent(nowMs: number): void {
-    for (const [endpointId, entry] of this.entries) {
-      if (this.ageMs(entry, nowMs) > FORGET_AFTER_MS) this.entries.delete(endpointId);
+    for (const [endpointId, record] of this.records) {
+      if (this.ageMs(record, nowMs) > REMOVE_AFTER_MS) this.records.delete(endpointId);
     }
   }
 
-  private usable(nowMs: number, serves: (announcement: Announcement) => boolean): KnownEndpoint[] {
-    const pool = [...this.entries.values()].filter(
-      (entry) => this.hasLease(entry, nowMs) && serves(entry.announcement),
+  private usableEndpoints(
+    nowMs: number,
+    serves: (announcement: Announcement) => boolean,
+  ): KnownEndpoint[] {
+    const pool = [...this.records.values()].filter(
+      (record) => this.hasLease(record, nowMs) && serves(record.announcement),
     );
-    return pool.filter((entry) => this.isAdmitted(entry, nowMs));
+    return pool.filter((record) => this.isAdmitted(record, nowMs));
   }
 
-  private hasLease(entry: Entry, nowMs: number): boolean {
-    if (entry.announcement.leaving) return false;
-    return this.ageMs(entry, nowMs) < this.options.leaseMs;
+  private hasLease(record: EndpointRecord, nowMs: number): boolean {
+    if (record.announcement.leaving) return false;
+    return this.ageMs(record, nowMs) < this.options.leaseMs;
   }
 
-  /** An ejected endpoint takes nothing; after that one request at a time until one succeeds. */
-  private isAdmitted(entry: Entry, nowMs: number): boolean {
-    if (nowMs < entry.ejectedUntilMs || entry.endedAtMs >= entry.announcedAtMs) return false;
-    return !(entry.ejections > 0 && entry.probing);
+  /**
+   * Whether an endpoint is neither ejected nor ended. After an ejection it receives one request at a
+   * time until one succeeds.
+   */
+  private isAdmitted(record: EndpointRecord, nowMs: number): boolean {
+    if (nowMs < record.ejectedUntilMs || record.processEndedAtMs >= record.announcedAtMs)
+      return false;
+    return !(record.ejections > 0 && record.isProbing);
   }
 
-  private poolOf(entry: Entry, nowMs: number): Entry[] {
-    const { models, services } = entry.announcement;
-    return [...this.entries.values()].filter(
+  private poolOf(record: EndpointRecord, nowMs: number): EndpointRecord[] {
+    const { models, services } = record.announcement;
+    return [...this.records.values()].filter(
       (other) =>
         this.hasLease(other, nowMs) &&
         (other.announcement.models.some((model) => models.includes(model)) ||
@@ -256,29 +272,29 @@
     );
   }
 
-  private isSlow(entry: Entry, nowMs: number): boolean {
-    if (entry.latencySamples < MIN_LATENCY_SAMPLES) return false;
-    const others = this.poolOf(entry, nowMs).filter(
-      (other) => other !== entry && other.latencySamples >= MIN_LATENCY_SAMPLES,
+  private isSlow(record: EndpointRecord, nowMs: number): boolean {
+    if (record.latencySamples < MIN_LATENCY_SAMPLES) return false;
+    const others = this.poolOf(record, nowMs).filter(
+      (other) => other !== record && other.latencySamples >= MIN_LATENCY_SAMPLES,
     );
     if (others.length < 2) return false;
     const sorted = others.map((other) => other.latencyMs).sort((a, b) => a - b);
     const median = sorted[Math.floor(sorted.length / 2)] ?? 0;
-    return entry.latencyMs > median * this.options.slowFactor;
+    return record.latencyMs > median * this.options.slowFactor;
   }
 
-  private eject(entry: Entry, nowMs: number): void {
-    const pool = this.poolOf(entry, nowMs);
+  private eject(record: EndpointRecord, nowMs: number): void {
+    const pool = this.poolOf(record, nowMs);
     const ejected = pool.filter(
-      (other) => other !== entry && !this.isAdmitted(other, nowMs),
+      (other) => other !== record && !this.isAdmitted(other, nowMs),
     ).length;
-    // With too many out, the trouble is not the endpoint's own: keep using it.
+    // With too many endpoints ejected, the cause is not this endpoint: keep using it.
     if (ejected + 1 > pool.length * this.options.maxEjectedShare) return;
-    entry.ejections += 1;
-    const ejectionMs = this.options.firstEjectionMs * 2 ** (entry.ejections - 1);
-    entry.ejectedUntilMs = nowMs + Math.min(MAX_EJECTION_MS, ejectionMs);
-    entry.failuresInRow = 0;
-    entry.latencySamples = 0;
+    record.ejections += 1;
+    const ejectionMs = this.options.firstEjectionMs * 2 ** (record.ejections - 1);
+    record.ejectedUntilMs = nowMs + Math.min(MAX_EJECTION_MS, ejectionMs);
+    record.consecutiveFailures = 0;
+    record.latencySamples = 0;
   }
 }
 
@@ -289,16 +305,16 @@
   return announcement.sequence > known.sequence;
 }
 
-function freshEntry(announcement: Announcement, announcedAtMs: number): Entry {
+function newRecord(announcement: Announcement, announcedAtMs: number): EndpointRecord {
   return {
     announcement,
     announcedAtMs,
-    firstHeardAtMs: announcedAtMs,
-    failuresInRow: 0,
+    firstSeenAtMs: announcedAtMs,
+    consecutiveFailures: 0,
     ejectedUntilMs: 0,
-    endedAtMs: -Infinity,
+    processEndedAtMs: -Infinity,
     ejections: 0,
-    probing: false,
+    isProbing: false,
     latencyMs: 0,
     latencySamples: 0,
   };
--- a/packages/directory/src/endpoint-subsets.ts
+++ b/packages/directory/src/endpoint-subsets.ts
@@ -1,12 +1,12 @@
 /**
- * Which endpoints an entry sends to, and with which entries it shares them, where every entry
- * finds the fleet itself. Entries and endpoints are laid on a circle, ordered by availability
- * zone; an entry uses the endpoints nearest to its own place. In a small fleet everybody uses
- * everything; in a large one an endpoint has a bounded number of users, so that the counts that
- * users tell each other do not grow with the fleet.
+ * Deterministic subsetting: computes the endpoints that each entry sends to and the entries that
+ * share an endpoint. Entries and endpoints are placed on a ring, ordered by availability zone, and an
+ * entry uses the endpoints nearest to its own position. In a small fleet every entry uses every
+ * endpoint. In a large fleet an endpoint is used by a bounded number of entries, so the request counts
+ * that these exchange do not grow with the fleet.
  */
 
-/** A process or an endpoint, and where it stands. */
+/** The name of a process or an endpoint, and its availability zone. */
 export interface ZonedName {
   readonly name: string;
   readonly availabilityZone: string;
@@ -16,66 +16,72 @@
 export interface EndpointSubsetsOptions {
   readonly entries: readonly ZonedName[];
   readonly endpoints: readonly ZonedName[];
-  /** Fleets with no more entries than this are not divided. */
-  readonly undividedEntries?: number;
-  /** Entries that an endpoint of a divided fleet has as users, on average. */
+  /** Largest number of entries with which every entry uses every endpoint. */
+  readonly maxEntriesWithoutSubsets?: number;
+  /** Average number of entries that use an endpoint once there are subsets. */
   readonly usersPerEndpoint?: number;
-  /** Endpoints that an entry uses at least, so that some may fail at once. */
+  /** Minimum size of a subset, so that several endpoints may fail at once. */
   readonly minEndpoints?: number;
-  /** Endpoints that an entry uses at most, unless some would have no user. */
+  /** Maximum size of a subset, unless some endpoints would then be in no subset. */
   readonly maxEndpoints?: number;
 }
 
-/** All entries of the small deployments, with some to spare. */
-const DEFAULT_UNDIVIDED_ENTRIES = 16;
+/** Covers all entries of the small deployments with some margin. */
+const DEFAULT_MAX_ENTRIES_WITHOUT_SUBSETS = 16;
 /**
- * Each user tells the others of every request that begins or ends, so messages grow with the
- * square of this; with fewer, one that is gone leaves an endpoint to too few.
+ * Each entry reports every request that begins or ends to the other entries of an endpoint, so the
+ * number of messages grows with the square of this value. With a lower value, the loss of one entry
+ * leaves an endpoint with too few.
  */
 const DEFAULT_USERS_PER_ENDPOINT = 5;
-/** Half of them may fail at once; where the others are full, all endpoints of the fleet are used. */
+/** Half of them may fail at once; if the others are full, the entry uses all endpoints. */
 const DEFAULT_MIN_ENDPOINTS = 4;
-/** Enough to even out the load of one entry; a choice looks at each of them. */
+/** Enough to balance the load of one entry; choosing an endpoint examines all of them. */
 const DEFAULT_MAX_ENDPOINTS = 64;
 
-/** The division of one list of entries and one of endpoints. It never changes. */
+/** The immutable subsets for one list of entries and one of endpoints. */
 export class EndpointSubsets {
   private readonly byEntry = new Map<string, readonly string[]>();
   private readonly byEndpoint = new Map<string, string[]>();
-  private readonly byEndpointNear = new Map<string, readonly string[]>();
+  private readonly byEndpointInZone = new Map<string, readonly string[]>();
   private readonly peers = new Map<string, readonly string[]>();
 
   constructor(options: EndpointSubsetsOptions) {
-    const entries = inOrder(options.entries);
-    const endpoints = inOrder(options.endpoints);
+    const entries = sortByZone(options.entries);
+    const endpoints = sortByZone(options.endpoints);
     const count = endpointsPerEntry(entries.length, endpoints.length, options);
     for (const endpoint of endpoints) this.byEndpoint.set(endpoint, []);
     for (const [index, entry] of entries.entries()) {
-      const place = ((index + 0.5) / entries.length) * endpoints.length;
-      const first = Math.floor(place - count / 2);
-      const used = Array.from({ length: count }, (_, offset) => at(endpoints, first + offset));
+      const position = ((index + 0.5) / entries.length) * endpoints.length;
+      const first = Math.floor(position - count / 2);
+      const used = Array.from({ length: count }, (_, offset) =>
+        elementAt(endpoints, first + offset),
+      );
       this.byEntry.set(entry, used);
       for (const endpoint of used) this.byEndpoint.get(endpoint)?.push(entry);
     }
-    this.noteNear(options);
+    this.indexNearbyEntries(options);
   }
 
-  /** Endpoints that an entry uses. */
+  /** Returns the endpoints that an entry uses. */
   endpointsOf(entry: string): readonly string[] {
     return this.byEntry.get(entry) ?? [];
   }
 
-  /** Entries that use an endpoint; always the same array for the same endpoint. */
+  /** Returns the entries that use an endpoint; always the same array for the same endpoint. */
   entriesOf(endpoint: string): readonly string[] {
     return this.byEndpoint.get(endpoint) ?? [];
   }
 
-  /** Entries that use an endpoint and stand in its availability zone; all where none does. */
+  /**
+   * Returns the entries that use an endpoint and are in its availability zone, or all its entries if
+   * none is.
+   */
   nearEntriesOf(endpoint: string): readonly string[] {
-    return this.byEndpointNear.get(endpoint) ?? this.entriesOf(endpoint);
+    return this.byEndpointInZone.get(endpoint) ?? this.entriesOf(endpoint);
   }
 
-  /** Other entries that use some endpoint that this one uses. */
+  /** Returns the other entries that share at least one endpoint with this entry. */
   peersOf(entry: string): readonly string[] {
     const known = this.peers.get(entry);
     if (known !== undefined) return known;
@@ -85,11 +91,11 @@
     return peers;
   }
 
-  private noteNear({ entries, endpoints }: EndpointSubsetsOptions): void {
+  private indexNearbyEntries({ entries, endpoints }: EndpointSubsetsOptions): void {
     const zones = new Map(entries.map(({ name, availabilityZone }) => [name, availabilityZone]));
     for (const { name, availabilityZone } of endpoints) {
       const near = this.entriesOf(name).filter((entry) => zones.get(entry) === availabilityZone);
-      if (near.length > 0) this.byEndpointNear.set(name, near);
+      if (near.length > 0) this.byEndpointInZone.set(name, near);
     }
   }
 }
@@ -100,25 +106,25 @@
   options: EndpointSubsetsOptions,
 ): number {
   const {
-    undividedEntries = DEFAULT_UNDIVIDED_ENTRIES,
+    maxEntriesWithoutSubsets = DEFAULT_MAX_ENTRIES_WITHOUT_SUBSETS,
     usersPerEndpoint = DEFAULT_USERS_PER_ENDPOINT,
     minEndpoints = DEFAULT_MIN_ENDPOINTS,
     maxEndpoints = DEFAULT_MAX_ENDPOINTS,
   } = options;
-  if (entries <= undividedEntries) return endpoints;
+  if (entries <= maxEntriesWithoutSubsets) return endpoints;
   const share = Math.round((usersPerEndpoint * endpoints) / entries);
-  // One more than an even division, so that rounding leaves no endpoint without a user.
+  // One more than an even share, so that rounding leaves no endpoint without an entry.
   const needed = Math.ceil(endpoints / entries) + 1;
   const bounded = Math.min(maxEndpoints, Math.max(minEndpoints, share));
   return Math.min(endpoints, Math.max(needed, bounded));
 }
 
-function inOrder(placed: readonly ZonedName[]): string[] {
-  const keyOf = (one: ZonedName): string => `${one.availabilityZone}|${one.name}`;
-  return [...placed].sort((a, b) => (keyOf(a) < keyOf(b) ? -1 : 1)).map(({ name }) => name);
+function sortByZone(items: readonly ZonedName[]): string[] {
+  const keyOf = (item: ZonedName): string => `${item.availabilityZone}|${item.name}`;
+  return [...items].sort((a, b) => (keyOf(a) < keyOf(b) ? -1 : 1)).map(({ name }) => name);
 }
 
-/** Element of a list that is closed to a circle. */
-function at(list: readonly string[], index: number): string {
+/** Returns an element of a list that wraps around at both ends. */
+function elementAt(list: readonly string[], index: number): string {
   return list[((index % list.length) + list.length) % list.length] ?? '';
 }
--- a/packages/directory/src/entry-membership.ts
+++ b/packages/directory/src/entry-membership.ts
@@ -1,17 +1,17 @@
 /**
- * Which peer entries are up. Failure detection after SWIM (Das, Gupta and Motivala, 2002):
- * each entry probes one peer an interval, asks others to probe for it when that fails, and
- * spreads news on the probes, so that the traffic of an entry does not grow with the fleet.
+ * Tracks which peer entries are up, with the SWIM protocol (Das, Gupta and Motivala, 2002): each
+ * entry probes one peer per interval, asks others for indirect probes if that fails, and piggybacks
+ * state changes on the probes, so the traffic of an entry does not grow with the fleet.
  */
 
-/** What is thought of a peer. */
+/** State of a peer as seen by this entry. */
 export type PeerState = 'alive' | 'suspect' | 'dead';
 
-/** News about a peer. */
+/** A change of a peer's state. */
 export interface PeerUpdate {
   readonly peer: string;
   readonly state: PeerState;
-  /** Raised by the peer alone, to refute a suspicion. */
+  /** Raised only by the peer itself, to refute a suspicion. */
   readonly incarnation: number;
 }
 
@@ -37,7 +37,7 @@
       readonly news: readonly PeerUpdate[];
     };
 
-/** A message and whom it goes to. */
+/** A message and its recipient. */
 export interface OutgoingMessage {
   readonly to: string;
   readonly message: MembershipMessage;
@@ -59,25 +59,29 @@
 interface Peer {
   state: PeerState;
   incarnation: number;
+  /** Time at which the peer counts as dead if it is still suspected. */
   suspectUntilMs: number;
 }
 
 interface Probe {
   readonly peer: string;
   readonly sequence: number;
+  /** Time from which indirect probes are requested. */
   readonly directUntilMs: number;
+  /** Time from which the peer is suspected. */
   readonly untilMs: number;
-  askedOthers: boolean;
+  /** Whether other entries were asked to probe the peer. */
+  isIndirect: boolean;
 }
 
 interface RelayedProbe {
-  readonly asker: string;
-  readonly askerSequence: number;
+  readonly requester: string;
+  readonly requesterSequence: number;
 }
 
-const MAX_NEWS = 8;
-/** Times that one piece of news is passed on, per doubling of the fleet. */
-const SPREAD_FACTOR = 3;
+const MAX_UPDATES_PER_MESSAGE = 8;
+/** Times that an update is transmitted, per doubling of the fleet. */
+const TRANSMIT_FACTOR = 3;
 
 /** State of the peer entries as one entry sees it. */
 export class EntryMembership {
@@ -88,7 +92,9 @@
   private readonly suspicionMs: number;
   private readonly indirectProbes: number;
   private readonly peers = new Map<string, Peer>();
-  private readonly spreading = new Map<string, number>();
+  /** Transmissions so far of each update that is still being disseminated, by peer. */
+  private readonly transmitCounts = new Map<string, number>();
+  /** Probes sent for other entries, by sequence. */
   private readonly relayed = new Map<number, RelayedProbe>();
   private ownIncarnation: number;
   private sequence = 0;
@@ -110,43 +116,42 @@
     }
   }
 
-  /** Peers that are not thought dead, this entry included. */
+  /** Returns the peers that are not considered dead, and this entry. */
   liveEntries(): string[] {
     const live = [...this.peers].filter(([, peer]) => peer.state !== 'dead');
     return [this.self, ...live.map(([name]) => name)].sort();
   }
 
-  /** What is thought of a peer. */
   stateOf(peer: string): PeerState {
     return this.peers.get(peer)?.state ?? 'dead';
   }
 
-  /** Lets time pass; gives the messages to send. */
+  /** Advances timers; returns the messages to send. */
   tick(nowMs: number): OutgoingMessage[] {
-    this.buryOverdue(nowMs);
-    const out = this.advanceProbe(nowMs);
+    this.markOverdueDead(nowMs);
+    const messages = this.advanceProbe(nowMs);
     if (this.probe === undefined && nowMs >= this.nextProbeAtMs) {
       this.nextProbeAtMs = nowMs + this.probeIntervalMs;
-      out.push(...this.startProbe(nowMs));
+      messages.push(...this.startProbe(nowMs));
     }
-    return out;
+    return messages;
   }
 
-  /** Takes a message; gives the messages to send. */
+  /** Handles a message; returns the messages to send. */
   receive(message: MembershipMessage, nowMs: number): OutgoingMessage[] {
-    this.hearFrom(message.from);
-    for (const update of message.news) this.takeUpdate(update, nowMs);
+    this.noteContact(message.from);
+    for (const update of message.news) this.applyUpdate(update, nowMs);
     if (message.type === 'ping') {
       const ack = { type: 'ack', from: this.self, sequence: message.sequence } as const;
-      return [{ to: message.from, message: { ...ack, news: this.updatesToSpread() } }];
+      return [{ to: message.from, message: { ...ack, news: this.nextUpdates() } }];
     }
     if (message.type === 'pingFor') return this.relayProbe(message);
-    return this.takeAck(message.sequence, message.from);
+    return this.handleAck(message.sequence, message.from);
   }
 
-  private hearFrom(name: string): void {
+  private noteContact(name: string): void {
     const peer = this.peers.get(name);
-    // A peer that speaks is up; its own refutation raises its incarnation for the others.
+    // A peer that sends a message is up; its own refutation raises its incarnation for the others.
     if (peer?.state === 'dead') {
       peer.state = 'suspect';
       peer.suspectUntilMs = Infinity;
@@ -162,20 +167,20 @@
       sequence: this.sequence,
       directUntilMs: nowMs + this.probeTimeoutMs,
       untilMs: nowMs + this.probeIntervalMs,
-      askedOthers: false,
+      isIndirect: false,
     };
     return [this.ping(peer, this.sequence)];
   }
 
-  /** Every peer comes once in each round, in a random order. */
+  /** Returns each peer once per round, in a random order. */
   private nextPeer(): string | undefined {
     if (this.probeOrder.length === 0) {
       this.probeOrder = [...this.peers.keys()];
       for (let index = this.probeOrder.length - 1; index > 0; index -= 1) {
         const other = Math.floor(this.random() * (index + 1));
-        const moved = this.probeOrder[index] ?? '';
+        const swapped = this.probeOrder[index] ?? '';
         this.probeOrder[index] = this.probeOrder[other] ?? '';
-        this.probeOrder[other] = moved;
+        this.probeOrder[other] = swapped;
       }
     }
     return this.probeOrder.pop();
@@ -189,21 +194,21 @@
       this.suspect(probe.peer, nowMs);
       return [];
     }
-    if (nowMs < probe.directUntilMs || probe.askedOthers) return [];
-    probe.askedOthers = true;
-    return this.helpers(probe.peer).map((to) => ({
+    if (nowMs < probe.directUntilMs || probe.isIndirect) return [];
+    probe.isIndirect = true;
+    return this.chooseIndirectProbers(probe.peer).map((to) => ({
       to,
       message: {
         type: 'pingFor',
         from: this.self,
         target: probe.peer,
         sequence: probe.sequence,
-        news: this.updatesToSpread(),
+        news: this.nextUpdates(),
       },
     }));
   }
 
-  private helpers(target: string): string[] {
+  private chooseIndirectProbers(target: string): string[] {
     const candidates = [...this.peers]
       .filter(([name, peer]) => name !== target && peer.state === 'alive')
       .map(([name]) => ({ name, order: this.random() }));
@@ -213,34 +218,37 @@
 
   private relayProbe(message: MembershipMessage & { type: 'pingFor' }): OutgoingMessage[] {
     this.sequence += 1;
-    this.relayed.set(this.sequence, { asker: message.from, askerSequence: message.sequence });
+    this.relayed.set(this.sequence, {
+      requester: message.from,
+      requesterSequence: message.sequence,
+    });
     const oldest = this.relayed.keys().next().value;
     if (this.relayed.size > 64 && oldest !== undefined) this.relayed.delete(oldest);
     return [this.ping(message.target, this.sequence)];
   }
 
-  private takeAck(sequence: number, from: string): OutgoingMessage[] {
+  private handleAck(sequence: number, from: string): OutgoingMessage[] {
     const relayed = this.relayed.get(sequence);
     if (relayed !== undefined) {
       this.relayed.delete(sequence);
-      const ack = { type: 'ack', from: this.self, sequence: relayed.askerSequence } as const;
-      return [{ to: relayed.asker, message: { ...ack, news: this.updatesToSpread() } }];
+      const ack = { type: 'ack', from: this.self, sequence: relayed.requesterSequence } as const;
+      return [{ to: relayed.requester, message: { ...ack, news: this.nextUpdates() } }];
     }
     if (this.probe?.sequence !== sequence) return [];
     const { peer } = this.probe;
     this.probe = undefined;
     const known = this.peers.get(peer);
-    const answered = from === peer;
-    // The answer of the peer itself, or of a helper for it, ends a suspicion of our own.
-    if (known !== undefined && known.state !== 'alive' && (answered || known.state === 'suspect')) {
+    const isDirect = from === peer;
+    // An ack of the peer itself, or of an indirect probe, ends this entry's own suspicion.
+    if (known !== undefined && known.state !== 'alive' && (isDirect || known.state === 'suspect')) {
       this.setState(peer, known, 'alive');
     }
     return [];
   }
 
   private ping(to: string, sequence: number): OutgoingMessage {
-    const updates = this.updatesToSpread();
-    // A peer must hear that it is suspected, or it could not refute it.
+    const updates = this.nextUpdates();
+    // A peer must learn that it is suspected, or it could not refute it.
     if (this.peers.get(to)?.state !== 'alive') updates.push(this.updateOf(to));
     return { to, message: { type: 'ping', from: this.self, sequence, news: updates } };
   }
@@ -252,7 +260,7 @@
     this.setState(name, peer, 'suspect');
   }
 
-  private buryOverdue(nowMs: number): void {
+  private markOverdueDead(nowMs: number): void {
     for (const [name, peer] of this.peers) {
       if (peer.state === 'suspect' && nowMs >= peer.suspectUntilMs)
         this.setState(name, peer, 'dead');
@@ -261,16 +269,16 @@
 
   private setState(name: string, peer: Peer, state: PeerState): void {
     peer.state = state;
-    this.spreading.set(name, 0);
+    this.transmitCounts.set(name, 0);
   }
 
-  private takeUpdate(update: PeerUpdate, nowMs: number): void {
+  private applyUpdate(update: PeerUpdate, nowMs: number): void {
     if (update.peer === this.self) {
       this.refute(update);
       return;
     }
     const peer = this.peers.get(update.peer);
-    if (peer === undefined || !isFresher(update, peer)) return;
+    if (peer === undefined || !takesPrecedence(update, peer)) return;
     peer.incarnation = update.incarnation;
     if (update.state === 'suspect') peer.suspectUntilMs = nowMs + this.suspicionMs;
     this.setState(update.peer, peer, update.state);
@@ -278,18 +286,20 @@
 
   private refute(update: PeerUpdate): void {
     if (update.state === 'alive') return;
-    // Whoever still holds old news has missed the refutation: it goes out once more.
+    // The sender of a stale suspicion has missed the refutation, so it is disseminated again.
     this.ownIncarnation = Math.max(this.ownIncarnation, update.incarnation + 1);
-    this.spreading.set(this.self, 0);
+    this.transmitCounts.set(this.self, 0);
   }
 
-  /** The news passed on least often so far. */
-  private updatesToSpread(): PeerUpdate[] {
-    const limit = SPREAD_FACTOR * Math.ceil(Math.log2(this.peers.size + 2));
-    const chosen = [...this.spreading].sort((a, b) => a[1] - b[1]).slice(0, MAX_NEWS);
+  /** Returns the updates transmitted least often so far. */
+  private nextUpdates(): PeerUpdate[] {
+    const limit = TRANSMIT_FACTOR * Math.ceil(Math.log2(this.peers.size + 2));
+    const chosen = [...this.transmitCounts]
+      .sort((a, b) => a[1] - b[1])
+      .slice(0, MAX_UPDATES_PER_MESSAGE);
     for (const [name, count] of chosen) {
-      if (count + 1 >= limit) this.spreading.delete(name);
-      else this.spreading.set(name, count + 1);
+      if (count + 1 >= limit) this.transmitCounts.delete(name);
+      else this.transmitCounts.set(name, count + 1);
     }
     return chosen.map(([name]) => this.updateOf(name));
   }
@@ -303,8 +313,8 @@
 
 const SEVERITY: Readonly<Record<PeerState, number>> = { alive: 0, suspect: 1, dead: 2 };
 
-/** News wins by a higher incarnation, or at the same one by being worse. */
-function isFresher(update: PeerUpdate, known: Peer): boolean {
+/** An update takes precedence with a higher incarnation, or with a worse state of the same one. */
+function takesPrecedence(update: PeerUpdate, known: Peer): boolean {
   if (update.incarnation !== known.incarnation) return update.incarnation > known.incarnation;
   return SEVERITY[update.state] > SEVERITY[known.state];
 }
--- a/packages/directory/src/index.ts
+++ b/packages/directory/src/index.ts
@@ -1,7 +1,7 @@
 /**
- * What an entry knows of endpoints and of its peers.
+ * An entry's view of the endpoints and of its peer entries.
  */
-export * from './cells.js';
+export * from './observer-sets.js';
 export * from './endpoint-directory.js';
 export * from './lease-clock.js';
 export * from './entry-membership.js';
--- a/packages/directory/src/lease-clock.test.ts
+++ b/packages/directory/src/lease-clock.test.ts
@@ -11,46 +11,46 @@
 }
 
 describe('LeaseClock', () => {
-  test(title('runs like any other while something is heard'), (t) => {
+  test(title('follows the steady clock while messages are received'), (t) => {
     const gaps = fc.array(fc.integer({ min: 0, max: USUAL_MS }), { minLength: 1 });
     fc.assert(
-      fc.property(gaps, (all) => {
-        const subject = clock();
+      fc.property(gaps, (gapsMs) => {
+        const leaseClock = clock();
         let nowMs = 5000;
-        for (const gapMs of all) {
+        for (const gapMs of gapsMs) {
           nowMs += gapMs;
-          subject.heard(nowMs);
+          leaseClock.heard(nowMs);
         }
-        t.is(subject.at(nowMs), nowMs);
+        t.is(leaseClock.at(nowMs), nowMs);
       }),
     );
   });
 
-  test(title('never goes back, and never runs faster than time'), (t) => {
+  test(title('never runs backwards, and never faster than the steady clock'), (t) => {
     const steps = fc.array(
-      fc.record({ forMs: fc.integer({ min: 0, max: 40_000 }), isHeard: fc.boolean() }),
+      fc.record({ elapsedMs: fc.integer({ min: 0, max: 40_000 }), isReceived: fc.boolean() }),
     );
     fc.assert(
-      fc.property(steps, (all) => {
-        const subject = clock();
+      fc.property(steps, (sequence) => {
+        const leaseClock = clock();
         let nowMs = 0;
-        let readingMs = subject.at(nowMs);
-        for (const { forMs, isHeard } of all) {
-          nowMs += forMs;
-          if (isHeard) subject.heard(nowMs);
-          const nextMs = subject.at(nowMs);
-          t.true(nextMs >= readingMs && nextMs - readingMs <= forMs);
+        let readingMs = leaseClock.at(nowMs);
+        for (const { elapsedMs, isReceived } of sequence) {
+          nowMs += elapsedMs;
+          if (isReceived) leaseClock.heard(nowMs);
+          const nextMs = leaseClock.at(nowMs);
+          t.true(nextMs >= readingMs && nextMs - readingMs <= elapsedMs);
           readingMs = nextMs;
         }
       }),
     );
   });
 
-  test(title('stands still while nothing is heard, but not for ever'), (t) => {
-    const subject = clock();
-    subject.heard(0);
-    t.is(subject.at(USUAL_MS), USUAL_MS);
-    t.is(subject.at(LONGEST_MS), USUAL_MS);
-    t.is(subject.at(LONGEST_MS + 100), USUAL_MS + 100);
+  test(title('pauses while nothing is received, and resumes after the longest pause'), (t) => {
+    const leaseClock = clock();
+    leaseClock.heard(0);
+    t.is(leaseClock.at(USUAL_MS), USUAL_MS);
+    t.is(leaseClock.at(LONGEST_MS), USUAL_MS);
+    t.is(leaseClock.at(LONGEST_MS + 100), USUAL_MS + 100);
   });
 });
--- a/packages/directory/src/lease-clock.ts
+++ b/packages/directory/src/lease-clock.ts
@@ -1,39 +1,42 @@
 /**
- * The clock of leases that are renewed through a third party. While that party says nothing at all, a
- * lease that is not renewed tells nothing of its holder, so the clock stands still.
+ * The clock of leases that are renewed through a third party. While nothing is received from that
+ * party, a missing renewal is no evidence against the holder of a lease, so the clock is paused.
  */
 
 /** Options of {@link LeaseClock}. */
 export interface LeaseClockOptions {
-  /** Silence of the third party that still counts in full. */
+  /** Time without a message from the third party after which the clock pauses. */
   readonly usualSilenceMs: number;
-  /** Silence from which on the clock runs again: what is known is too old by then. */
+  /**
+   * Time without a message after which the clock resumes: what is known of the holders is too old to
+   * rely on by then.
+   */
   readonly longestSilenceMs: number;
 }
 
-/** A clock that stands still while nothing is heard. */
+/** A clock that pauses while nothing is received from the third party. */
 export class LeaseClock {
   private readonly options: LeaseClockOptions;
-  private heardAtMs: number | undefined;
-  /** Reading of this clock when something was last heard. */
+  private lastReceivedAtMs: number | undefined;
+  /** Reading of this clock when the last message was received. */
   private readingMs = 0;
 
   constructor(options: LeaseClockOptions) {
     this.options = options;
   }
 
-  /** Something was heard, be it that there is nothing new. */
+  /** Records a message of the third party, also one without changes. */
   heard(nowMs: number): void {
     this.readingMs = this.at(nowMs);
-    this.heardAtMs = nowMs;
+    this.lastReceivedAtMs = nowMs;
   }
 
-  /** Reading at a time of the steady clock. */
+  /** Returns the reading of this clock at a time of the steady clock. */
   at(nowMs: number): number {
-    if (this.heardAtMs === undefined) return nowMs;
+    if (this.lastReceivedAtMs === undefined) return nowMs;
     const { usualSilenceMs, longestSilenceMs } = this.options;
-    const silentMs = nowMs - this.heardAtMs;
-    const beyondMs = Math.max(0, silentMs - longestSilenceMs);
-    return this.readingMs + Math.min(silentMs, usualSilenceMs) + beyondMs;
+    const sinceLastMs = nowMs - this.lastReceivedAtMs;
+    const afterResumeMs = Math.max(0, sinceLastMs - longestSilenceMs);
+    return this.readingMs + Math.min(sinceLastMs, usualSilenceMs) + afterResumeMs;
   }
 }
