--- a/packages/fleet-control/src/control-process.ts
+++ b/packages/fleet-control/src/control-process.ts
@@ -1,6 +1,6 @@
 /**
- * The control process of a fleet that finds its members itself. With a disk it is a member of
- * the fleet group; without one it passes questions and commands on to those that are.
+ * The control process of a fleet with dynamic membership. With a disk it is a member of the fleet
+ * group; without a disk it forwards queries and commands to the members of the group.
  */
 import type { FleetSettings } from '@shedline/config';
 import { GroupNode, findCluster } from '@shedline/control';
@@ -22,11 +22,11 @@
 import type { Logger } from '@shedline/logger';
 import { ProcessMetrics } from '@shedline/metrics';
 import type { Link, PeerAddress, PeerConnections } from '@shedline/transport';
-import { EndpointMemory } from './endpoint-memory.js';
+import { SavedEndpoints } from './saved-endpoints.js';
 import type { QuotaRequest, UsageReport } from '@shedline/quota';
-import { FleetGroup, FLEET_GROUP } from './machines.js';
+import { FleetStateMachine, FLEET_GROUP } from './group-state-machines.js';
 import { groupSettings } from './group-settings.js';
-import { HeartbeatOutbox } from './heartbeat-outbox.js';
+import { HeartbeatBatcher } from './heartbeat-batcher.js';
 import { portsOf } from './peer-ports.js';
 import { peerAddressFromName, seedAddresses } from './ports.js';
 import { ProcessCore } from './process-core.js';
@@ -36,11 +36,11 @@
 import type { RetireOutcome, RetireProgress } from './store-lifecycle.js';
 import type { RefreshAnswer, RefreshRequest, StateAnswer } from './protocol.js';
 
-/** Operators and endpoints wait a second; an answer must come before that. */
+/** Operators and endpoints time out after one second; a reply must arrive earlier. */
 const CALL_TIMEOUT_MS = 850;
-/** Longest wait for one process while looking for the leader. */
+/** Maximum wait for one process while searching for the leader. */
 const MAX_ATTEMPT_MS = 400;
-const FORGET_INTERVAL_MS = 5000;
+const EXPIRY_INTERVAL_MS = 5000;
 
 /** Options of {@link ControlProcess}. */
 export interface ControlProcessOptions {
@@ -50,13 +50,13 @@
   readonly nowMs?: () => number;
 }
 
-/** Answer to a configuration that was put. */
+/** Outcome of putting a configuration. */
 export interface PutAnswer {
   readonly outcome: 'stored' | 'held' | 'invalid';
   readonly message: string;
 }
 
-/** One control process. */
+/** Runs a control process; start it with {@link start}. */
 export class ControlProcess {
   readonly core: ProcessCore;
   readonly metrics = new ProcessMetrics();
@@ -64,17 +64,18 @@
   private readonly logger: Logger;
   private readonly nowMs: () => number;
   private readonly registry: EndpointRegistry;
-  private readonly outbox: HeartbeatOutbox;
-  private readonly memory: EndpointMemory | undefined;
+  private readonly heartbeatBatcher: HeartbeatBatcher;
+  private readonly savedEndpoints: SavedEndpoints | undefined;
   private readonly groups: GroupNode | undefined;
-  private readonly machine: FleetGroup;
+  private readonly stateMachine: FleetStateMachine;
   private readonly caller: LeaderCaller;
   private readonly quotas: QuotaCounter;
   /** Formation and retirement of stores. */
   readonly storeLifecycle: StoreLifecycle;
-  /** Connections to the stores, made when one of them retires. */
+  /** Connections to the stores, opened when the progress of a retirement is queried. */
   private readonly stores: PeerConnections;
-  private pushed: FleetPosition = { version: -1, leaveCount: 0 };
+  /** Position up to which changes were pushed to the connected processes. */
+  private pushedPosition: FleetPosition = { version: -1, leaveCount: 0 };
   private timer: NodeJS.Timeout | undefined;
   private isPushDue = false;
   private stopped = false;
@@ -99,13 +100,13 @@
     });
     this.stores = this.core.createPeerConnections();
     this.registry = new EndpointRegistry(this.core.epoch);
-    this.outbox = this.createOutbox();
-    this.memory = this.createMemory();
-    this.machine = new FleetGroup(() => {
-      this.pushSoon();
+    this.heartbeatBatcher = this.createHeartbeatBatcher();
+    this.savedEndpoints = this.createSavedEndpoints();
+    this.stateMachine = new FleetStateMachine(() => {
+      this.schedulePush();
     });
     this.storeLifecycle = new StoreLifecycle({
-      state: this.machine.state,
+      state: this.stateMachine.state,
       toleratedLosses: this.settings.toleratedLosses,
       logger: this.logger,
       liveStores: () => this.core.mesh.live('store'),
@@ -118,37 +119,37 @@
     this.addGauges();
   }
 
-  /** Joins the fleet, or forms it with the other seeds. */
+  /** Joins the fleet, or forms it with the other seeds if it is new. */
   async start(): Promise<void> {
     await this.groups?.open();
-    await this.memory?.restore();
-    this.memory?.start();
+    await this.savedEndpoints?.restore();
+    this.savedEndpoints?.start();
     await this.core.listen();
     if (this.groups !== undefined) this.core.mesh.update({ memberId: this.groups.memberId });
     this.core.start();
     this.quotas.start();
     this.timer = setInterval(() => {
-      this.registry.forgetSilent(this.nowMs());
-    }, FORGET_INTERVAL_MS);
+      this.registry.forgetExpired(this.nowMs());
+    }, EXPIRY_INTERVAL_MS);
     await this.groups?.join();
     this.core.mesh.setState('ready');
     this.logger.info('control process ready', { step: 'start' });
   }
 
-  /** Hands leaderships over, then ends. */
+  /** Transfers leaderships to other members, then stops. */
   async stop(): Promise<void> {
     this.stopped = true;
     this.core.mesh.setState('draining');
     await this.groups?.stop();
-    this.memory?.stop();
-    this.outbox.close();
+    this.savedEndpoints?.stop();
+    this.heartbeatBatcher.close();
     this.quotas.stop();
     clearInterval(this.timer);
     this.stores.close();
     await this.core.stop();
   }
 
-  /** Puts a configuration in force; `document` is its text as sent. */
+  /** Puts a configuration in force; `document` is its text as the operator sent it. */
   async putConfiguration(configuration: Configuration, document: string): Promise<PutAnswer> {
     const problem = configurationProblem(configuration);
     const { version } = configuration;
@@ -166,25 +167,25 @@
     return { outcome: answer.outcome, message: `version ${answer.version} is in force` };
   }
 
-  /** The configuration in force, as of a moment after the question; empty where there is none. */
+  /** Reads the configuration in force, linearizably; returns an empty text if there is none. */
   async readDocument(): Promise<string> {
     return (await this.callLeader('fleetDocument', {})) as string;
   }
 
-  /** Takes a heartbeat of an endpoint and passes it on. */
+  /** Records a heartbeat of an endpoint and forwards it to other processes. */
   takeHeartbeat(heartbeat: EndpointHeartbeat): void {
     const known = this.registry.runOf(heartbeat.endpointId);
-    const isNew = known?.startedAtMs !== heartbeat.startedAtMs;
-    if (!this.registry.hear(heartbeat, 0, this.nowMs())) return;
-    // Others ask for what is known at short intervals; only news is worth a message to each.
-    this.outbox.add(heartbeat, isNew);
+    const isNewIncarnation = known?.startedAtMs !== heartbeat.startedAtMs;
+    if (!this.registry.record(heartbeat, 0, this.nowMs())) return;
+    // Other processes poll at short intervals; only new incarnations are pushed to all of them.
+    this.heartbeatBatcher.add(heartbeat, isNewIncarnation);
   }
 
-  /** Records that a run of an endpoint leaves; resolves once a quorum holds the record. */
+  /** Records that an endpoint incarnation drains; resolves once a quorum has stored the record. */
   async takeLeave({ endpointId, startedAtMs }: EndpointRun): Promise<void> {
-    if (this.machine.state.isLeaving({ endpointId, startedAtMs })) return;
+    if (this.stateMachine.state.isLeaving({ endpointId, startedAtMs })) return;
     const answer = await this.propose({ type: 'recordLeave', endpointId, startedAtMs });
-    this.logger.info('endpoint leaves', {
+    this.logger.info('endpoint drain recorded', {
       step: 'leave',
       endpoint: runIdOf({ endpointId, startedAtMs }),
       outcome: answer.outcome,
@@ -192,39 +193,45 @@
   }
 
   /**
-   * The latest run of an endpoint that was heard of here, or else at another control process: one
-   * that has just started may be told of a leave before it hears a heartbeat.
+   * Returns the latest incarnation of an endpoint that this control process knows, or else that
+   * another one knows: a process that has just started may be asked to record a drain before it
+   * receives a heartbeat.
    */
   async runOf(endpointId: string): Promise<EndpointRun> {
     const known = this.registry.runOf(endpointId);
     if (known !== undefined) return known;
-    const asked = this.core.mesh.controls.ready.map(async (control) => {
+    const replies = this.core.mesh.controls.ready.map(async (control) => {
       try {
         const answer = await control.request('endpointRun', endpointId, MAX_ATTEMPT_MS);
         return answer as EndpointRun | null;
       } catch (error) {
         const reason = error instanceof Error ? error.message : String(error);
-        this.logger.debug('run not known', { step: 'leave', peer: control.peerName, reason });
+        this.logger.debug('could not query the latest run of an endpoint', {
+          step: 'leave',
+          peer: control.peerName,
+          reason,
+        });
         return null;
       }
     });
-    const runs = (await Promise.all(asked)).flatMap((run) => run ?? []);
+    const runs = (await Promise.all(replies)).flatMap((run) => run ?? []);
     const unknownStart = { endpointId, startedAtMs: UNKNOWN_START_MS };
     return runs.reduce(
-      (last, run) => (run.startedAtMs > last.startedAtMs ? run : last),
+      (latest, run) => (run.startedAtMs > latest.startedAtMs ? run : latest),
       unknownStart,
     );
   }
 
-  /** Has the store of an instance emptied; see {@link StoreLifecycle.retire}. */
+  /** Starts the retirement of the store of an instance; see {@link StoreLifecycle.retire}. */
   retire(instance: string): Promise<RetireOutcome> {
     if (this.groups !== undefined) return this.storeLifecycle.retire(instance);
     return this.callLeader('retire', instance) as Promise<RetireOutcome>;
   }
 
   /**
-   * How far the emptying of a store is; undefined where none was asked for. A process without a disk
-   * does not know what was asked for: it answered that nothing was.
+   * Returns the progress of the retirement of a store; undefined if none was requested. A process
+   * without a disk does not hold the state of the fleet and would always report that none was
+   * requested, so it asks the leader.
    */
   async retirement(instance: string): Promise<RetireProgress | undefined> {
     if (this.groups !== undefined) return this.storeLifecycle.retirement(instance);
@@ -236,7 +243,7 @@
   }
 
   private async callLeader(method: string, payload: unknown): Promise<unknown> {
-    const beganMs = this.nowMs();
+    const startMs = this.nowMs();
     let outcome = 'failed';
     try {
       const answer = await this.caller.call(method, FLEET_GROUP, payload, CALL_TIMEOUT_MS);
@@ -244,7 +251,7 @@
       return answer;
     } finally {
       this.metrics.count('shedline_leader_calls_total', { method, outcome });
-      this.metrics.took('shedline_leader_call_milliseconds', { method }, this.nowMs() - beganMs);
+      this.metrics.took('shedline_leader_call_milliseconds', { method }, this.nowMs() - startMs);
     }
   }
 
@@ -262,7 +269,7 @@
 
   private addGauges(): void {
     this.metrics.gauge('shedline_quota_counts', () => this.quotas.size);
-    const { state } = this.machine;
+    const { state } = this.stateMachine;
     this.metrics.gauge('shedline_configuration_version', () => state.position.version);
     this.metrics.gauge('shedline_leave_records', () => state.position.leaveCount);
     this.metrics.gauge('shedline_groups_led', () => this.groups?.leading().length ?? 0);
@@ -271,7 +278,7 @@
     this.metrics.gauge('shedline_live_stores', () => this.core.mesh.live('store').length);
   }
 
-  /** Processes that may lead the fleet group; this one first. */
+  /** Returns the processes that may lead the fleet group, this process first. */
   private ports(): CallPort[] {
     const remote = portsOf(this.core.mesh.controls);
     if (this.groups === undefined) return remote;
@@ -283,23 +290,23 @@
     return [own, ...remote];
   }
 
-  private createOutbox(): HeartbeatOutbox {
-    return new HeartbeatOutbox({
+  private createHeartbeatBatcher(): HeartbeatBatcher {
+    return new HeartbeatBatcher({
       nowMs: this.nowMs,
-      tellControls: (heartbeats) => {
+      sendToControls: (heartbeats) => {
         for (const control of this.core.mesh.controls.ready) control.send('heartbeats', heartbeats);
       },
-      tellAll: (heartbeats) => {
+      sendToAll: (heartbeats) => {
         this.core.broadcast('heartbeats', heartbeats);
       },
     });
   }
 
-  private createMemory(): EndpointMemory | undefined {
+  private createSavedEndpoints(): SavedEndpoints | undefined {
     const { dataDir, heartbeatMs } = this.settings;
     if (dataDir === undefined) return undefined;
     const { registry, logger, nowMs } = this;
-    return new EndpointMemory({ dataDir, registry, heartbeatMs, logger, nowMs });
+    return new SavedEndpoints({ dataDir, registry, heartbeatMs, logger, nowMs });
   }
 
   private createGroups(random: () => number): GroupNode | undefined {
@@ -314,7 +321,7 @@
       nowMs: this.nowMs,
       role: {
         firstGroup: FLEET_GROUP,
-        createMachine: () => this.machine,
+        createMachine: () => this.stateMachine,
         findCluster: (hello) => this.findCluster(hello),
         roleChanged: () => undefined,
         leaderTick: (host, nowMs) => {
@@ -341,10 +348,10 @@
   }
 
   /**
-   * Tells the connected processes what is new, once for all that is applied in one turn: a start
-   * applies the whole log. They ask again later in any case.
+   * Schedules one push of all changes that are applied in the same iteration of the event loop: a
+   * start applies the whole log. Processes that miss a push poll for changes anyway.
    */
-  private pushSoon(): void {
+  private schedulePush(): void {
     if (this.isPushDue) return;
     this.isPushDue = true;
     setImmediate(() => {
@@ -354,8 +361,8 @@
   }
 
   private pushChanges(): void {
-    const delta = this.machine.state.deltaSince(this.pushed);
-    this.pushed = delta.position;
+    const delta = this.stateMachine.state.deltaSince(this.pushedPosition);
+    this.pushedPosition = delta.position;
     this.core.broadcast('fleetNews', delta);
   }
 
@@ -368,26 +375,29 @@
       case 'fleetState':
         return this.stateSince(payload as FleetPosition);
       case 'retire':
-        return this.leaderStoreLifecycle(method).retire(payload as string);
+        return this.requireLeadingLifecycle(method).retire(payload as string);
       case 'retirement':
-        return (await this.leaderStoreLifecycle(method).retirement(payload as string)) ?? null;
+        return (await this.requireLeadingLifecycle(method).retirement(payload as string)) ?? null;
       case 'endpointRun':
         return this.registry.runOf(payload as string) ?? null;
       case 'quotaAsk':
-        return this.quotas.answer(payload as QuotaRequest);
+        return this.quotas.grant(payload as QuotaRequest);
       case 'fleetPropose':
-        return this.leader(method).propose(payload);
+        return this.requireFleetGroup(method).propose(payload);
       case 'fleetDelta':
         return this.currentDelta(payload as FleetPosition);
       case 'fleetDocument':
-        await this.leader(method).confirmLeadership();
-        return this.machine.state.configurationDocument;
+        await this.requireFleetGroup(method).confirmLeadership();
+        return this.stateMachine.state.configurationDocument;
       default:
-        throw this.core.unavailable(method, `${this.core.name} answers no ${method}`);
+        throw this.core.unavailable(
+          method,
+          `${this.core.name} does not support the method ${method}`,
+        );
     }
   }
 
-  /** What this process knows, which may lag; never asked for where it must be current. */
+  /** Returns the state known to this process, which may lag; not for linearizable reads. */
   private refresh(request: RefreshRequest): RefreshAnswer {
     return {
       ...this.stateSince(request.position),
@@ -398,14 +408,15 @@
   private stateSince(position: FleetPosition): StateAnswer {
     const confirmedAgeMs = this.fleetGroup?.consensus.contactAgeMs(this.nowMs());
     return {
-      delta: this.machine.state.deltaSince(position),
+      delta: this.stateMachine.state.deltaSince(position),
       ...(confirmedAgeMs === undefined ? {} : { confirmedAgeMs }),
     };
   }
 
   /**
-   * The members of the fleet group as they stand on the disk here: one that starts again behind a cut has heard
-   * of nobody yet, and its seeds may all stand on its own side.
+   * Returns the members of the fleet group as stored on the disk of this process. A process that
+   * restarts during a network partition has no other record of the members on the other side, and its
+   * seeds may all be on its own side.
    */
   private coreMembers(): PeerAddress[] {
     const config = this.fleetGroup?.consensus.config;
@@ -421,32 +432,34 @@
   }
 
   private async currentDelta(position: FleetPosition): Promise<FleetDelta> {
-    await this.leader('fleetDelta').confirmLeadership();
-    return this.machine.state.deltaSince(position);
+    await this.requireFleetGroup('fleetDelta').confirmLeadership();
+    return this.stateMachine.state.deltaSince(position);
   }
 
-  private leaderStoreLifecycle(step: string): StoreLifecycle {
-    if (!this.leader(step).isLeading) throw this.core.unavailable(step, 'does not lead');
+  private requireLeadingLifecycle(step: string): StoreLifecycle {
+    if (!this.requireFleetGroup(step).isLeading)
+      throw this.core.unavailable(step, 'this process does not lead the fleet group');
     return this.storeLifecycle;
   }
 
-  private leader(step: string): GroupHost {
+  private requireFleetGroup(step: string): GroupHost {
     const host = this.fleetGroup;
-    if (host === undefined) throw this.core.unavailable(step, 'this process holds no group');
+    if (host === undefined)
+      throw this.core.unavailable(step, 'this process has no member of the fleet group');
     return host;
   }
 
-  private takeUsage(reports: readonly UsageReport[], link: Pick<Link, 'send'>): void {
-    const near = this.quotas.take(reports);
+  private recordUsage(reports: readonly UsageReport[], link: Pick<Link, 'send'>): void {
+    const near = this.quotas.recordUsage(reports);
     if (near.length > 0) link.send('quotaNear', near);
   }
 
   private onMessage(method: string, payload: unknown, link: Pick<Link, 'send'>): void {
     if (this.groups?.onMessage(method, payload) === true) return;
-    if (method === 'quotaUse') this.takeUsage(payload as UsageReport[], link);
+    if (method === 'quotaUse') this.recordUsage(payload as UsageReport[], link);
     if (method !== 'heartbeats') return;
     for (const { heartbeat, ageMs } of payload as AgedHeartbeat[]) {
-      this.registry.hear(heartbeat, ageMs, this.nowMs());
+      this.registry.record(heartbeat, ageMs, this.nowMs());
     }
   }
 }
--- a/packages/fleet-control/src/group-settings.ts
+++ b/packages/fleet-control/src/group-settings.ts
@@ -1,28 +1,30 @@
 /**
- * Timings and sizes of the log groups of a fleet.
+ * Timeouts and sizes of the consensus groups of a fleet.
  */
 import type { GroupNodeSettings } from '@shedline/control';
 
-/** Three missed heartbeats and a margin: an election costs less than a second. */
+/** Three missed heartbeats and a margin, so that an election takes less than a second. */
 const ELECTION_TIMEOUT_MS = 600;
 /**
- * After a start: connections stand 30 ms after a process listens (played loss of all power, Forma),
- * a standing leader refuses the pre-vote, and each try doubles the time.
+ * First election timeout after a start. It may be short: connections are established 30 ms after a
+ * process listens when a whole fleet restarts, an existing leader rejects the pre-vote, and each
+ * attempt doubles the timeout.
  */
 const FIRST_ELECTION_TIMEOUT_MS = 70;
-/** A follower learns of a commit within one of these. */
+/** A follower learns of a commit within one interval. */
 const HEARTBEAT_INTERVAL_MS = 100;
 /**
- * A voter that is silent for longer than a process takes to restart is replaced where a spare is
- * up. A spare has to count five seconds after it started, so this must leave time to copy.
+ * Time after which an unresponsive voter is replaced if a spare is up; longer than the restart of a
+ * process. A spare must be a voter five seconds after its start, so this must leave time to copy the
+ * state.
  */
 const REPLACE_AFTER_MS = 2500;
-/** Small disks bound the log: at most six segments are kept. Bytes. */
+/** Segment size in bytes; at most six segments are kept, because disks are small. */
 const MAX_SEGMENT_BYTES = 2 * 1024 * 1024;
-/** Log bytes after which a group is snapshotted; about two segments. */
+/** Log bytes of a group after which a snapshot is taken; about two segments. */
 const SNAPSHOT_AFTER_BYTES = 3 * 1024 * 1024;
 
-/** Settings of a group node that bears `toleratedLosses` losses at once. */
+/** Returns the settings of a group node that tolerates `toleratedLosses` simultaneous losses. */
 export function groupSettings(dataDir: string, toleratedLosses: number): GroupNodeSettings {
   return {
     dataDir,
--- a/packages/fleet-control/src/machines.ts
+++ b/packages/fleet-control/src/group-state-machines.ts
@@ -1,5 +1,5 @@
 /**
- * The states of a fleet on replicated log groups.
+ * The state machines that a fleet replicates in consensus groups.
  */
 import { pack, unpack } from 'msgpackr';
 import type { GroupStateMachine, StateFile } from '@shedline/control';
@@ -9,11 +9,11 @@
 import { WholeJobs } from '@shedline/whole-jobs';
 import type { WholeJobCommand } from '@shedline/whole-jobs';
 
-/** Group of the fleet's state. */
+/** Number of the group that replicates the state of the fleet. */
 export const FLEET_GROUP = 0;
 
-/** Configuration, leave records and the cluster of the stores. */
-export class FleetGroup implements GroupStateMachine {
+/** Replicates the configuration, leave records and the store cluster. */
+export class FleetStateMachine implements GroupStateMachine {
   readonly state = new FleetState();
   private readonly onChange: () => void;
 
@@ -41,8 +41,8 @@
   }
 }
 
-/** Whole jobs. */
-export class WholeJobGroup implements GroupStateMachine {
+/** Replicates whole jobs. */
+export class WholeJobStateMachine implements GroupStateMachine {
   readonly jobs: WholeJobs;
   private readonly onApplied: (command: WholeJobCommand) => void;
 
--- a/packages/fleet-control/src/index.ts
+++ b/packages/fleet-control/src/index.ts
@@ -1,9 +1,9 @@
 /**
- * The control and store processes of a fleet that finds its members itself.
+ * The control and store processes of a fleet with dynamic membership.
  */
 export * from './control-process.js';
-export * from './endpoint-memory.js';
-export * from './machines.js';
+export * from './saved-endpoints.js';
+export * from './group-state-machines.js';
 export * from './peer-ports.js';
 export * from './ports.js';
 export * from './process-core.js';
--- a/packages/fleet-control/src/peer-ports.ts
+++ b/packages/fleet-control/src/peer-ports.ts
@@ -1,10 +1,10 @@
 /**
- * The peers of a process as places to call.
+ * Adapts the peer connections of a process to {@link CallPort}.
  */
 import type { CallPort } from '@shedline/control-client';
 import type { PeerConnections } from '@shedline/transport';
 
-/** A port for each peer. */
+/** Returns a call port for each connected peer. */
 export function portsOf(connections: PeerConnections): CallPort[] {
   return connections.names.flatMap((name): CallPort[] => {
     const client = connections.get(name);
--- a/packages/fleet-control/src/process-core.ts
+++ b/packages/fleet-control/src/process-core.ts
@@ -1,5 +1,5 @@
 /**
- * What every process of a fleet has: a place in the mesh and a server for its peers.
+ * The parts that every process of a fleet has: its membership in the mesh and a server for its peers.
  */
 import { randomBytes } from 'node:crypto';
 import type { FleetSettings } from '@shedline/config';
@@ -20,10 +20,10 @@
   readonly logger: Logger;
   readonly nowMs: () => number;
   readonly handlers: LinkHandlers;
-  /** What this kind of process says of itself besides. */
+  /** Additional fields of the member record of this kind of process. */
   readonly record?: Partial<MemberRecord>;
   readonly onMembersChange?: () => void;
-  /** Called when a connection to a control process is up. */
+  /** Called when a connection to a control process is established. */
   readonly onControlConnected?: (name: string) => void;
   /** See {@link MeshOptions.coreMembers}. */
   readonly coreMembers?: MeshOptions['coreMembers'];
@@ -31,7 +31,7 @@
 
 /** Mesh and server of one process. */
 export class ProcessCore {
-  /** `host:port` for peers; the name of the process in the fleet. */
+  /** Name of the process in the fleet: its `host:port` for peers. */
   readonly name: string;
   readonly epoch = randomBytes(EPOCH_BYTES).toString('hex');
   readonly mesh: Mesh;
@@ -83,13 +83,13 @@
     });
   }
 
-  /** Listens for peers; {@link start} makes the process known. */
+  /** Listens for peers; {@link start} announces the process to the fleet. */
   async listen(): Promise<void> {
     const { host, port } = this.mesh.self;
     await this.server.listen(this.options.settings.listenHost ?? host, port);
   }
 
-  /** Connections of this process to some of its peers. */
+  /** Creates connections of this process to some of its peers. */
   createPeerConnections(
     options: Pick<PeerConnectionsOptions, 'handlers' | 'lingerMs' | 'use' | 'firstRetryMs'> = {},
   ): PeerConnections {
@@ -104,12 +104,12 @@
     });
   }
 
-  /** Announces the process. */
+  /** Announces the process to the fleet. */
   start(): void {
     this.mesh.start();
   }
 
-  /** Takes settings that changed while the process runs. */
+  /** Applies settings that changed while the process is running. */
   reload(settings: FleetSettings): void {
     this.mesh.setSeeds(seedAddresses(settings.seeds, settings.firstPeerPort));
     this.options.logger.info('settings reloaded', {
@@ -118,18 +118,21 @@
     });
   }
 
-  /** Sends a one-way message to every process that is connected to this one. */
+  /** Sends a one-way message to every process that is connected to this process. */
   broadcast(method: string, payload: unknown): void {
     for (const link of this.server.readyLinks) link.send(method, payload);
   }
 
-  /** Says goodbye and closes all connections. */
+  /** Announces the stop and closes all connections. */
   async stop(): Promise<void> {
     this.mesh.stop();
     await this.server.close();
   }
 
-  /** This process cannot answer; nothing was done. `leader` is who could, if known. */
+  /**
+   * Creates the error of a request that this process cannot serve and that had no effect. `leader` is
+   * the process that can serve it, if known.
+   */
   unavailable(step: string, message: string, leader?: string): ShedlineError {
     return new ShedlineError({
       type: 'unavailable',
--- a/packages/fleet-control/src/protocol.ts
+++ b/packages/fleet-control/src/protocol.ts
@@ -11,87 +11,87 @@
   SubmittedItem,
 } from '@shedline/whole-jobs';
 
-/** What a reader has from one control process. */
+/** A reader's request for the changes since its last refresh from one control process. */
 export interface RefreshRequest {
   readonly position: FleetPosition;
-  /** Register that the cursor belongs to. */
+  /** Epoch of the endpoint registry that the cursor belongs to. */
   readonly epoch: string;
   readonly cursor: number;
 }
 
-/** The state of the fleet as far as a control process has it. */
+/** The changes of the fleet state that a control process has applied. */
 export interface StateAnswer {
   readonly delta: FleetDelta;
   /**
-   * Time since a quorum confirmed the state that the delta is made from; left out by a process that
-   * holds no member of the fleet group.
+   * Time since a quorum confirmed the state that the delta is computed from; omitted by a process
+   * without a member of the fleet group.
    */
   readonly confirmedAgeMs?: number;
 }
 
-/** What is new since. */
+/** The changes since the position and the cursor of a {@link RefreshRequest}. */
 export interface RefreshAnswer extends StateAnswer {
   readonly endpoints: RegistryDelta;
 }
 
-/** A job as an entry submits it; the leader adds its clock. */
+/** A job as an entry submits it; the leader adds the time of its clock. */
 export type JobSubmission = Omit<SubmitJob, 'type' | 'atMs'>;
 
-/** An item that its holder is to run. */
+/** An item that an entry is to execute. */
 export interface GrantedItem {
   readonly jobId: string;
   readonly index: number;
   readonly host: string;
   readonly path: string;
-  /** Workspace as which it runs; undefined where its route asks for no key. */
+  /** Workspace of the job; undefined if its route requires no API key. */
   readonly workspace?: string;
-  /** Wall clock at which its job is due. */
+  /** Wall-clock time at which the results of its job are due. */
   readonly dueAtMs: number;
   readonly item: SubmittedItem;
-  /** How far an earlier run got. */
+  /** Progress of an earlier execution attempt. */
   readonly progress?: ItemProgress;
 }
 
-/** Answer to a request for items. */
+/** Reply to a request for items. */
 export interface GrantAnswer {
   readonly items: readonly GrantedItem[];
-  /** Items of the route that still wait for a holder. */
+  /** Items of the route that are not assigned to an entry yet. */
   readonly waitingItems: number;
 }
 
-/** What a holder still has. */
+/** Renews the leases of the items that an entry holds. */
 export interface RenewRequest {
   readonly holder: string;
   readonly refs: readonly ItemRef[];
 }
 
-/** Results, failed runs and returned items of a holder. */
+/** Results, failed attempts and returned items of an entry. */
 export type RunReport = Omit<CommitRuns, 'type' | 'atMs'>;
 
-/** Asks for results. */
+/** Requests results of a job. */
 export interface ResultsRequest {
   readonly jobId: string;
   readonly position: number;
   readonly maxBytes: number;
-  /** Longest wait for a first result. */
+  /** Maximum time to wait for a first result. */
   readonly waitMs: number;
 }
 
-/** Asks for the body of an item. */
+/** Requests the body of an item. */
 export interface BodyRequest {
   readonly jobId: string;
   readonly itemId: string;
 }
 
-/** Results; undefined where there is no such job. */
+/** Results; undefined if there is no such job. */
 export type ResultsAnswer = ResultsPage | undefined;
 
-/** Body of an item; undefined where there is none. */
+/** Body of an item; undefined if there is no such item. */
 export interface BodyAnswer {
   readonly body: Uint8Array | undefined;
 }
 
-/** Message to entries: a job was ended, its items must stop. */
+/** Message to entries: a job was ended, and its running items must be cancelled. */
 export interface JobEndedMessage {
   readonly jobId: string;
 }
--- a/packages/fleet-control/src/quota-counter.ts
+++ b/packages/fleet-control/src/quota-counter.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps the counts of the workspaces whose requests entries tell of to this control process, and tells all
- * entries which of them are near their limits.
+ * Counts the requests of workspaces that entries report to this control process, and announces to all
+ * entries which workspaces are near their limits.
  */
 import type { Logger } from '@shedline/logger';
 import { NEAR_INTERVAL_MS, RequestLedger } from '@shedline/quota';
@@ -11,11 +11,11 @@
   readonly tolerance: QuotaTolerance;
   readonly logger: Logger;
   readonly nowMs: () => number;
-  /** Tells all entries the workspaces that are near their limits. */
+  /** Sends the workspaces that are near their limits to all entries. */
   readonly announce: (workspaces: readonly string[]) => void;
 }
 
-/** The counts that one control process keeps. */
+/** The request counts of one control process. */
 export class QuotaCounter {
   private readonly options: QuotaCounterOptions;
   private readonly ledger: RequestLedger;
@@ -28,28 +28,29 @@
     this.ledger = new RequestLedger({ tolerance, startedAtMs: nowMs() });
   }
 
-  /** Workspaces whose count is kept here. */
+  /** Number of workspaces that are counted here. */
   get size(): number {
     return this.ledger.size;
   }
 
-  /** Starts to repeat the announcements. */
+  /** Starts the periodic announcements. */
   start(): void {
     this.timer = setInterval(() => {
-      this.repeat();
+      this.repeatAnnouncement();
     }, NEAR_INTERVAL_MS);
   }
 
-  /** Ends. */
+  /** Stops the periodic announcements. */
   stop(): void {
     clearInterval(this.timer);
   }
 
   /**
-   * Counts requests that an entry let in. Gives the workspaces of these that are near their limits, of which it
-   * must not have heard: it has just started, or its connection was lost.
+   * Counts requests that an entry admitted. Returns those of their workspaces that are near their
+   * limits, because the entry may have missed the announcement: it has just started, or its connection
+   * was lost.
    */
-  take(reports: readonly UsageReport[]): string[] {
+  recordUsage(reports: readonly UsageReport[]): string[] {
     const nowMs = this.options.nowMs();
     const near = reports.filter((report) => this.ledger.report(report, nowMs));
     const names = near.map(({ workspace }) => workspace);
@@ -57,8 +58,8 @@
     return names;
   }
 
-  /** Lets requests pass as far as there is room. */
-  answer(request: QuotaRequest): QuotaAnswer {
+  /** Grants requests as far as the limit of their workspace allows. */
+  grant(request: QuotaRequest): QuotaAnswer {
     const answer = this.ledger.ask(request, this.options.nowMs());
     if (answer.granted < request.wanted && !this.announced.has(request.workspace)) {
       this.announceNew([request.workspace]);
@@ -73,7 +74,7 @@
     this.options.announce(workspaces);
   }
 
-  private repeat(): void {
+  private repeatAnnouncement(): void {
     const nowMs = this.options.nowMs();
     this.ledger.tick(nowMs);
     const near = this.ledger.near(nowMs);
--- a/packages/fleet-control/src/endpoint-memory.ts
+++ b/packages/fleet-control/src/saved-endpoints.ts
@@ -1,8 +1,8 @@
 /**
- * Keeps the endpoints that a control process hears of over a restart of the process: after a
- * loss of all power callers are served before every endpoint has sent a heartbeat again. What is
- * read back counts as one heartbeat old, so an endpoint that is gone is soon forgotten; a
- * request that reaches another run at its address is refused by that.
+ * Persists the known endpoints of a control process across restarts, so that after a power loss of
+ * the whole fleet callers are served before every endpoint has sent a heartbeat again. A restored
+ * heartbeat counts as one heartbeat interval old, so an endpoint that has stopped expires soon. A
+ * request that reaches another incarnation at the same address is refused by that incarnation.
  */
 import { UNKNOWN_START_MS, runIdOf } from '@shedline/fleet';
 import type { EndpointHeartbeat, EndpointRegistry } from '@shedline/fleet';
@@ -10,14 +10,14 @@
 import { NodeFileSystem } from '@shedline/storage';
 
 const FILE = 'endpoints.json';
-/** Half of the time between heartbeats of an endpoint on the users' platform. */
+/** Half of the default interval of endpoint heartbeats. */
 const SAVE_INTERVAL_MS = 600;
 
-/** A heartbeat as it stands in the file. */
+/** A heartbeat as stored in the file. */
 type SavedHeartbeat = Omit<EndpointHeartbeat, 'startedAtMs'> & { readonly startedAtMs?: number };
 
-/** Options of {@link EndpointMemory}. */
-export interface EndpointMemoryOptions {
+/** Options of {@link SavedEndpoints}. */
+export interface SavedEndpointsOptions {
   readonly dataDir: string;
   readonly registry: EndpointRegistry;
   readonly heartbeatMs: number;
@@ -26,53 +26,53 @@
 }
 
 /**
- * The file with the endpoints heard of. It is synced, since it is needed most after a loss of
- * power; it changes only when an endpoint comes or goes.
+ * The file with the known endpoints. It is synced, because it is needed most after a power loss; it
+ * is written only when an endpoint is added or removed.
  */
-export class EndpointMemory {
-  private readonly options: EndpointMemoryOptions;
+export class SavedEndpoints {
+  private readonly options: SavedEndpointsOptions;
   private readonly files: NodeFileSystem;
-  private savedNames = '';
+  private savedRunIds = '';
   private isSaving = false;
   private timer: NodeJS.Timeout | undefined;
 
-  constructor(options: EndpointMemoryOptions) {
+  constructor(options: SavedEndpointsOptions) {
     this.options = options;
     this.files = new NodeFileSystem(options.dataDir);
   }
 
-  /** Reads what an earlier run of the process heard. */
+  /** Restores the endpoints that the previous process saved. */
   async restore(): Promise<void> {
     const { registry, heartbeatMs, logger, nowMs } = this.options;
     const heartbeats = await this.read();
-    for (const heartbeat of heartbeats) registry.hear(heartbeat, heartbeatMs, nowMs());
-    logger.info('endpoints of an earlier run', { step: 'start', endpoints: heartbeats.length });
+    for (const heartbeat of heartbeats) registry.record(heartbeat, heartbeatMs, nowMs());
+    logger.info('restored saved endpoints', { step: 'start', endpoints: heartbeats.length });
   }
 
-  /** Begins to save. */
+  /** Starts to save periodically. */
   start(): void {
     this.timer = setInterval(() => void this.save(), SAVE_INTERVAL_MS);
   }
 
-  /** Ends. */
+  /** Stops saving periodically. */
   stop(): void {
     clearInterval(this.timer);
   }
 
-  /** Writes the endpoints if others came or went since the last time. */
+  /** Writes the endpoints if some were added or removed since the last save. */
   async save(): Promise<void> {
     const { registry, logger, nowMs } = this.options;
     const { heartbeats } = registry.since('', 0, nowMs());
-    const names = heartbeats.map(({ heartbeat }) => runIdOf(heartbeat)).join();
-    if (names === this.savedNames || this.isSaving) return;
+    const runIds = heartbeats.map(({ heartbeat }) => runIdOf(heartbeat)).join();
+    if (runIds === this.savedRunIds || this.isSaving) return;
     this.isSaving = true;
     try {
       const text = JSON.stringify(heartbeats.map(({ heartbeat }) => heartbeat));
       await this.files.replace(FILE, Buffer.from(text));
-      this.savedNames = names;
+      this.savedRunIds = runIds;
     } catch (error) {
       const reason = error instanceof Error ? error.message : String(error);
-      logger.info('endpoints not saved', { step: 'save endpoints', peer: FILE, reason });
+      logger.info('could not save endpoints', { step: 'save endpoints', peer: FILE, reason });
     } finally {
       this.isSaving = false;
     }
@@ -82,11 +82,11 @@
     try {
       const parsed: unknown = JSON.parse((await this.files.read(FILE)).toString());
       if (!Array.isArray(parsed)) throw new Error('not a list');
-      return parsed.filter(isHeartbeat).map(withStart);
+      return parsed.filter(isHeartbeat).map(withStartTime);
     } catch (error) {
-      // Torn by a loss of power, or never written: endpoints will send heartbeats.
+      // The file was torn by a power loss or never written: endpoints will send heartbeats.
       const reason = error instanceof Error ? error.message : String(error);
-      this.options.logger.info('no endpoints of an earlier run', {
+      this.options.logger.info('no saved endpoints to restore', {
         step: 'start',
         peer: FILE,
         reason,
@@ -96,9 +96,9 @@
   }
 }
 
-/** Earlier programs wrote no start. */
-function withStart(heard: SavedHeartbeat): EndpointHeartbeat {
-  return { ...heard, startedAtMs: heard.startedAtMs ?? UNKNOWN_START_MS };
+/** Adds the start time that earlier versions did not save. */
+function withStartTime(saved: SavedHeartbeat): EndpointHeartbeat {
+  return { ...saved, startedAtMs: saved.startedAtMs ?? UNKNOWN_START_MS };
 }
 
 function isHeartbeat(value: unknown): value is SavedHeartbeat {
--- a/packages/fleet-control/src/state-reader.test.ts
+++ b/packages/fleet-control/src/state-reader.test.ts
@@ -6,10 +6,10 @@
 import type { StateAnswer } from './protocol.js';
 import { StateReader } from './state-reader.js';
 
-/** A control process with a fleet in which a store is told to retire. */
+/** A control process of a fleet with one retiring store. */
 class FakeControl {
   readonly peerName = 'control';
-  readonly asked: string[] = [];
+  readonly methods: string[] = [];
   isReachable = true;
   private readonly state = new FleetState();
 
@@ -18,22 +18,22 @@
   }
 
   request = (method: string, payload: unknown): Promise<StateAnswer> => {
-    this.asked.push(method);
-    if (!this.isReachable) return Promise.reject(new Error('silent'));
+    this.methods.push(method);
+    if (!this.isReachable) return Promise.reject(new Error('not reachable'));
     return Promise.resolve({ delta: this.state.deltaSince(payload as FleetPosition) });
   };
 }
 
 describe('state reader', () => {
-  test(title('takes what is new, and asks for no endpoints'), async (t) => {
+  test(title('applies the changes, and requests no endpoints'), async (t) => {
     const control = new FakeControl();
     const reader = new StateReader(createLogger({ level: 'silent' }));
     await reader.readFrom(control);
     t.true(reader.fleet.isRetiring('old'));
-    t.deepEqual(control.asked, ['fleetState']);
+    t.deepEqual(control.methods, ['fleetState']);
   });
 
-  test(title('keeps what it knows where a control process does not answer'), async (t) => {
+  test(title('keeps its state if a control process does not reply'), async (t) => {
     const control = new FakeControl();
     const reader = new StateReader(createLogger({ level: 'silent' }));
     await reader.readFrom(control);
--- a/packages/fleet-control/src/state-reader.ts
+++ b/packages/fleet-control/src/state-reader.ts
@@ -1,5 +1,5 @@
 /**
- * Reads the state of the fleet from control processes, each of which may lag.
+ * Reads the state of the fleet from control processes, any of which may lag.
  */
 import { KnownFleet } from '@shedline/fleet';
 import type { Logger } from '@shedline/logger';
@@ -8,7 +8,7 @@
 
 const READ_TIMEOUT_MS = 800;
 
-/** What a process that sends nothing to endpoints knows of the fleet. */
+/** The view of the fleet state of a process that sends no requests to endpoints. */
 export class StateReader {
   readonly fleet = new KnownFleet();
   private readonly logger: Logger;
@@ -18,8 +18,8 @@
   }
 
   /**
-   * Asks a control process for what is new. Without the endpoints: all of them in every answer to every store were
-   * most of what a control process sent in a large fleet.
+   * Requests the changes from a control process, without the endpoints: with them, the replies to
+   * stores were most of the traffic of a control process in a large fleet.
    */
   async readFrom(control: Pick<PeerClient, 'peerName' | 'request'>): Promise<void> {
     const { peerName: peer } = control;
@@ -28,7 +28,7 @@
       this.fleet.take((answer as StateAnswer).delta);
     } catch (error) {
       const reason = error instanceof Error ? error.message : String(error);
-      this.logger.debug('state of the fleet not known', { step: 'refresh', peer, reason });
+      this.logger.debug('could not read the fleet state', { step: 'refresh', peer, reason });
     }
   }
 }
--- a/packages/fleet-control/src/store-peers.ts
+++ b/packages/fleet-control/src/store-peers.ts
@@ -1,5 +1,5 @@
 /**
- * Which stores a store keeps a connection to.
+ * Selects the stores that a store connects to.
  */
 import { instanceOf } from '@shedline/consensus';
 import type { GroupConfig } from '@shedline/consensus';
@@ -7,10 +7,11 @@
 import { peerAddressFromName } from './ports.js';
 
 /**
- * The stores that are up, and the members of the groups held here whether or not they are heard: one that
- * starts behind a cut finds in no list those whom it has to follow when the cut ends.
+ * Returns the stores that are up and all members of the groups of this store, also unresponsive
+ * ones. A store that starts during a network partition has no other record of the members on the
+ * other side, which it has to follow once the partition heals.
  */
-export function storesToReach(
+export function storesToConnect(
   live: readonly PeerAddress[],
   groups: readonly GroupConfig[],
 ): PeerAddress[] {
--- a/packages/fleet-control/src/store-process.ts
+++ b/packages/fleet-control/src/store-process.ts
@@ -1,5 +1,5 @@
 /**
- * The store process: holds whole jobs in log groups and hands out their items.
+ * The store process: replicates whole jobs in consensus groups and grants their items to entries.
  */
 import { setTimeout as pause } from 'node:timers/promises';
 import type { FleetSettings } from '@shedline/config';
@@ -11,21 +11,21 @@
 import { ProcessMetrics } from '@shedline/metrics';
 import type { PeerConnections } from '@shedline/transport';
 import type { WholeJobCommand } from '@shedline/whole-jobs';
-import { WholeJobGroup } from './machines.js';
+import { WholeJobStateMachine } from './group-state-machines.js';
 import { groupSettings } from './group-settings.js';
 import { ProcessCore } from './process-core.js';
-import { storesToReach } from './store-peers.js';
+import { storesToConnect } from './store-peers.js';
 import { JobRequests } from './job-requests.js';
 import type { JobEndedMessage } from './protocol.js';
 import { StateReader } from './state-reader.js';
 
 const FIRST_JOB_GROUP = 1;
-/** Requests that are commands of a job group. */
-const PROPOSALS: ReadonlySet<string> = new Set(['submitJob', 'commitRuns', 'endJob']);
-const JOIN_PAUSE_MS = 200;
-/** Time between looks at the state of the fleet; news is pushed besides. */
+/** Methods that propose a command to a job group. */
+const PROPOSAL_METHODS: ReadonlySet<string> = new Set(['submitJob', 'commitRuns', 'endJob']);
+const JOIN_RETRY_MS = 200;
+/** Interval of polling the fleet state; changes are also pushed. */
 const REFRESH_INTERVAL_MS = 1000;
-/** Clocks differ a little, and a reader may come late. */
+/** Covers clock differences and readers that are slightly late. */
 const RETENTION_MARGIN_MS = 30_000;
 
 /** Options of {@link StoreProcess}. */
@@ -42,7 +42,7 @@
   readonly body: T;
 }
 
-/** One store process. */
+/** Runs a store process; start it with {@link start}. */
 export class StoreProcess {
   readonly core: ProcessCore;
   readonly metrics = new ProcessMetrics();
@@ -88,7 +88,7 @@
     this.addGauges();
   }
 
-  /** Joins the cluster of the stores. */
+  /** Joins the store cluster. */
   async start(): Promise<void> {
     await this.groups.open();
     await this.core.listen();
@@ -100,13 +100,13 @@
     await this.groups.join();
     this.timer = setInterval(() => {
       this.refresh();
-      this.tellGroups();
+      this.announceGroups();
     }, REFRESH_INTERVAL_MS);
     this.core.mesh.setState('ready');
     this.logger.info('store process ready', { step: 'start' });
   }
 
-  /** Hands leaderships over, then ends. */
+  /** Transfers leaderships to other members, then stops. */
   async stop(): Promise<void> {
     this.stopped = true;
     clearInterval(this.timer);
@@ -119,7 +119,7 @@
   private createGroups(): GroupNode {
     const { dataDir, toleratedLosses } = this.settings;
     if (dataDir === undefined) {
-      const message = 'dataDir: a store needs a folder for its state';
+      const message = 'dataDir: a store needs a directory for its state';
       throw new ShedlineError({ type: 'invalid_request', message, step: 'read settings' });
     }
     return new GroupNode({
@@ -132,74 +132,75 @@
       role: {
         firstGroup: FIRST_JOB_GROUP,
         createMachine: (group, files) =>
-          new WholeJobGroup(files, (command) => {
+          new WholeJobStateMachine(files, (command) => {
             this.applied(group, command);
           }),
         findCluster: () => this.findCluster(),
         roleChanged: (host) => {
           if (host.isLeading) this.requests.becameLeader(host.group);
-          this.tellGroups();
+          this.announceGroups();
         },
         leaderTick: (host) => {
           const { machine } = host;
-          if (machine instanceof WholeJobGroup) this.requests.sweep(host.group, machine);
+          if (machine instanceof WholeJobStateMachine)
+            this.requests.removeExpiredLeases(host.group, machine);
         },
         isRetiring: (store) => this.state.fleet.isRetiring(store),
         housekeep: (host) => {
-          this.sweep(host);
+          this.removeExpiredJobs(host);
         },
       },
     });
   }
 
-  /** The control processes say which stores formed the cluster. */
+  /** Waits until a control process reports which stores formed the cluster. */
   private async findCluster(): Promise<ClusterDocument | undefined> {
     while (!this.stopped) {
       for (const control of this.core.mesh.controls.ready) {
         await this.state.readFrom(control);
         if (this.state.fleet.storeCluster !== undefined) return this.state.fleet.storeCluster;
       }
-      await pause(JOIN_PAUSE_MS);
+      await pause(JOIN_RETRY_MS);
     }
     return undefined;
   }
 
-  /** Catches up with what was pushed while no connection was up. */
+  /** Reads the changes that were pushed while no connection was up. */
   private refresh(): void {
     const ready = this.core.mesh.controls.ready;
     const control = ready[Math.floor(this.random() * ready.length)];
     if (control !== undefined) void this.state.readFrom(control);
   }
 
-  /** Entries find the holders and leaders of groups by what the stores say of themselves. */
-  private tellGroups(): void {
+  /** Announces the groups that this store holds and leads, by which entries find them. */
+  private announceGroups(): void {
     const hosts = [...this.groups.hosts.values()];
     const { memberId } = this.groups;
     const held = hosts.filter(({ consensus }) => consensus.config.voters.includes(memberId));
     const holds = held.map(({ group }) => group).sort();
     const leads = held.filter(({ isLeading }) => isLeading).map(({ group }) => group);
     const { self } = this.core.mesh;
-    const told = `${self.holds?.join()}|${self.leads?.join()}`;
-    if (told !== `${holds.join()}|${leads.join()}`) this.core.mesh.update({ holds, leads });
+    const announced = `${self.holds?.join()}|${self.leads?.join()}`;
+    if (announced !== `${holds.join()}|${leads.join()}`) this.core.mesh.update({ holds, leads });
   }
 
   private connectStores(): void {
     const groups = [...this.groups.hosts.values()].map((host) => host.consensus.config);
-    const wanted = storesToReach(this.core.mesh.live('store'), groups);
-    for (const store of wanted) this.stores.add(store);
-    this.stores.keepOnly(new Set(wanted.map(({ name }) => name)));
+    const peers = storesToConnect(this.core.mesh.live('store'), groups);
+    for (const store of peers) this.stores.add(store);
+    this.stores.keepOnly(new Set(peers.map(({ name }) => name)));
   }
 
-  private sweep(host: GroupHost): void {
+  private removeExpiredJobs(host: GroupHost): void {
     const retentionMs = this.settings.jobRetentionS * 1000 + RETENTION_MARGIN_MS;
     this.groups.inBackground(host.propose({ type: 'sweep', atMs: Date.now(), retentionMs }));
   }
 
-  /** Wakes those that wait for what a command brought. */
+  /** Resumes the readers of jobs that a command changed, and notifies entries of ended jobs. */
   private applied(group: number, command: WholeJobCommand): void {
     if (command.type === 'commitRuns') this.requests.runsCommitted(group, command);
     if (command.type !== 'endJob') return;
-    this.requests.wakeReaders(command.jobId);
+    this.requests.resumeReaders(command.jobId);
     if (this.groups.hosts.get(group)?.isLeading !== true) return;
     this.core.broadcast('jobEnded', { jobId: command.jobId } satisfies JobEndedMessage);
   }
@@ -210,17 +211,17 @@
     if (method === 'groupStatuses') return this.groups.groupStatuses();
     const { group, body } = payload as GroupRequest<unknown>;
     const host = this.groups.hosts.get(group);
-    if (host === undefined || !(host.machine instanceof WholeJobGroup)) {
+    if (host === undefined || !(host.machine instanceof WholeJobStateMachine)) {
       throw this.core.unavailable(method, `group ${group} is not open here`);
     }
-    if (PROPOSALS.has(method)) return this.propose(host, method, body);
-    const answered = this.requests.answer(method, host, host.machine, body);
-    if (answered !== undefined) return answered;
-    throw this.core.unavailable(method, `${this.core.name} answers no ${method}`);
+    if (PROPOSAL_METHODS.has(method)) return this.propose(host, method, body);
+    const handled = this.requests.handle(method, host, host.machine, body);
+    if (handled !== undefined) return handled;
+    throw this.core.unavailable(method, `${this.core.name} does not support the method ${method}`);
   }
 
   private async propose(host: GroupHost, method: string, body: unknown): Promise<unknown> {
-    const beganMs = this.nowMs();
+    const startMs = this.nowMs();
     let outcome = 'failed';
     try {
       const command = { ...(body as object), type: method, atMs: Date.now() };
@@ -229,7 +230,7 @@
       return answer;
     } finally {
       this.metrics.count('shedline_commands_total', { method, outcome });
-      this.metrics.took('shedline_command_milliseconds', { method }, this.nowMs() - beganMs);
+      this.metrics.took('shedline_command_milliseconds', { method }, this.nowMs() - startMs);
     }
   }
 
--- a/packages/fleet/src/endpoint-registry.ts
+++ b/packages/fleet/src/endpoint-registry.ts
@@ -1,90 +1,97 @@
 /**
- * The heartbeats of endpoints as a control process heard them, numbered so that a reader asks
- * only for what changed since its last look.
+ * The latest heartbeats that a control process received from endpoints, numbered so that a reader
+ * requests only the changes since its last read.
  */
 import type { EndpointRun } from './endpoint-run.js';
 
-/** One heartbeat of an endpoint. */
+/** A heartbeat as an endpoint sends it. */
 export interface EndpointHeartbeat extends EndpointRun {
   readonly service: string;
   /** `host:port`. */
   readonly address: string;
   readonly availabilityZone: string;
-  /** Requests that the endpoint runs at once. */
+  /** Requests that the endpoint executes concurrently. */
   readonly slots: number;
-  /** How much longer the endpoint stays slow after its start. */
+  /** Remaining warm-up time after the start, during which the endpoint is slow. */
   readonly warmUpLeftMs: number;
-  /** Grows with each heartbeat of a run, so that a late one can be told. */
+  /** Increases with each heartbeat of an incarnation, so that stale heartbeats are recognised. */
   readonly sequence: number;
 }
 
-/** A heartbeat and how old it is. */
+/** A heartbeat and its age. */
 export interface AgedHeartbeat {
   readonly heartbeat: EndpointHeartbeat;
   readonly ageMs: number;
 }
 
-/** Heartbeats since a cursor. */
+/** The heartbeats that changed after a cursor. */
 export interface RegistryDelta {
-  /** Names the register; cursors of another one mean nothing. */
+  /** Identifies the registry; a cursor is valid only for the registry that returned it. */
   readonly epoch: string;
   readonly cursor: number;
   readonly heartbeats: readonly AgedHeartbeat[];
 }
 
-/** Silence after which an endpoint is forgotten. */
-const FORGET_AFTER_MS = 30_000;
+/** Time without a heartbeat after which an endpoint is removed. */
+const EXPIRE_AFTER_MS = 30_000;
 
-interface Heard {
+interface ReceivedHeartbeat {
   readonly heartbeat: EndpointHeartbeat;
-  readonly heardAtMs: number;
-  readonly number: number;
+  readonly receivedAtMs: number;
+  readonly changeNumber: number;
 }
 
-/** Latest heartbeat of the latest run of each endpoint. */
+/** Holds the latest heartbeat of the latest incarnation of each endpoint. */
 export class EndpointRegistry {
   private readonly epoch: string;
-  private readonly heard = new Map<string, Heard>();
+  private readonly latest = new Map<string, ReceivedHeartbeat>();
   private counter = 0;
 
   constructor(epoch: string) {
     this.epoch = epoch;
   }
 
-  /** The latest run of an endpoint; undefined where none was heard of lately. */
+  /** Returns the latest incarnation of an endpoint; undefined if it has expired or is unknown. */
   runOf(endpointId: string): EndpointRun | undefined {
-    return this.heard.get(endpointId)?.heartbeat;
+    return this.latest.get(endpointId)?.heartbeat;
   }
 
-  /** Takes a heartbeat made `ageMs` ago; false where a newer one, or a later run, is known. */
-  hear(heartbeat: EndpointHeartbeat, ageMs: number, nowMs: number): boolean {
-    const known = this.heard.get(heartbeat.endpointId);
+  /**
+   * Records a heartbeat that was sent `ageMs` ago. Returns false if a newer heartbeat or a later
+   * incarnation is known.
+   */
+  record(heartbeat: EndpointHeartbeat, ageMs: number, nowMs: number): boolean {
+    const known = this.latest.get(heartbeat.endpointId);
     if (known !== undefined && !isNewer(heartbeat, known.heartbeat)) return false;
     this.counter += 1;
-    const heardAtMs = nowMs - ageMs;
-    this.heard.set(heartbeat.endpointId, { heartbeat, heardAtMs, number: this.counter });
+    const receivedAtMs = nowMs - ageMs;
+    this.latest.set(heartbeat.endpointId, {
+      heartbeat,
+      receivedAtMs,
+      changeNumber: this.counter,
+    });
     return true;
   }
 
-  /** Heartbeats after a cursor of the same epoch; all where the epoch differs. */
+  /** Returns the heartbeats after a cursor of the same epoch, or all if the epoch differs. */
   since(epoch: string, cursor: number, nowMs: number): RegistryDelta {
     const from = epoch === this.epoch ? cursor : 0;
     const heartbeats: AgedHeartbeat[] = [];
-    for (const { heartbeat, heardAtMs, number } of this.heard.values()) {
-      if (number > from) heartbeats.push({ heartbeat, ageMs: nowMs - heardAtMs });
+    for (const { heartbeat, receivedAtMs, changeNumber } of this.latest.values()) {
+      if (changeNumber > from) heartbeats.push({ heartbeat, ageMs: nowMs - receivedAtMs });
     }
     return { epoch: this.epoch, cursor: this.counter, heartbeats };
   }
 
-  /** Drops endpoints that have long been silent. */
-  forgetSilent(nowMs: number): void {
-    for (const [endpointId, { heardAtMs }] of this.heard) {
-      if (nowMs - heardAtMs > FORGET_AFTER_MS) this.heard.delete(endpointId);
+  /** Removes endpoints without a recent heartbeat. */
+  forgetExpired(nowMs: number): void {
+    for (const [endpointId, { receivedAtMs }] of this.latest) {
+      if (nowMs - receivedAtMs > EXPIRE_AFTER_MS) this.latest.delete(endpointId);
     }
   }
 }
 
-/** Sequences count anew in each run. */
+/** Sequences start anew in each incarnation. */
 function isNewer(heartbeat: EndpointHeartbeat, known: EndpointHeartbeat): boolean {
   if (heartbeat.startedAtMs !== known.startedAtMs) return heartbeat.startedAtMs > known.startedAtMs;
   return heartbeat.sequence > known.sequence;
--- a/packages/fleet/src/fleet.test.ts
+++ b/packages/fleet/src/fleet.test.ts
@@ -41,16 +41,16 @@
 }
 
 describe('configuration', () => {
-  test(title('is refused for an unknown service, a shared place, no weight and no time'), (t) => {
+  test(title('is rejected for an unknown service, duplicate prefix, zero weight or time'), (t) => {
     t.is(configurationProblem(configuration(1)), undefined);
-    const broken: Partial<Route>[] = [
+    const invalid: Partial<Route>[] = [
       { targets: [{ service: 'other', weight: 1 }] },
       { targets: [{ service: 's', weight: 0 }] },
       { targets: [] },
       { timeLimitMs: 0 },
       { pathPrefix: '/a' },
     ];
-    for (const change of broken) {
+    for (const change of invalid) {
       t.regex(configurationProblem(configuration(1, [route(change)])) ?? '', /^route r: /);
     }
     const shared = configuration(1, [route(), route({ name: 'other' })]);
@@ -73,7 +73,7 @@
     t.is(hostName('Name.Example:8080'), 'name.example');
   });
 
-  test(title('a service without weight is never chosen'), (t) => {
+  test(title('a service with weight 0 is never chosen'), (t) => {
     const targets = fc.array(fc.record({ service: fc.string(), weight: fc.nat(5) }), {
       minLength: 1,
     });
@@ -81,9 +81,9 @@
       fc.property(
         targets,
         fc.double({ min: 0, max: 1, maxExcluded: true, noNaN: true }),
-        (all, unit) => {
+        (all, random) => {
           fc.pre(all.some(({ weight }) => weight > 0));
-          const chosen = chooseService(route({ targets: all }), unit);
+          const chosen = chooseService(route({ targets: all }), random);
           return all.some(({ service, weight }) => service === chosen && weight > 0);
         },
       ),
@@ -99,7 +99,7 @@
     fc.nat(9).map((id): FleetCommand => ({ type: 'recordLeave', endpointId: `e${id}` })),
   );
 
-  test(title('the highest version stays in force, with the content that came first'), (t) => {
+  test(title('the highest version stays in force, with the document that was put first'), (t) => {
     fc.assert(
       fc.property(fc.array(command, { maxLength: 50 }), (commands) => {
         const state = new FleetState();
@@ -122,7 +122,7 @@
     t.pass();
   });
 
-  test(title('a reader that asks now and then knows all, and never goes back'), (t) => {
+  test(title('a reader that polls occasionally learns the whole state, and never reverts'), (t) => {
     const steps = fc.array(fc.record({ command, reads: fc.boolean() }), { maxLength: 50 });
     fc.assert(
       fc.property(steps, (all) => {
@@ -134,7 +134,7 @@
           if (!reads) continue;
           known.take(state.deltaSince(known.position));
           const before = known.position;
-          // An old answer that arrives late changes nothing.
+          // An outdated reply that arrives late changes nothing.
           known.take(stale);
           if (known.position.version !== before.version) return false;
           if (known.position.leaveCount !== before.leaveCount) return false;
@@ -154,7 +154,7 @@
     t.pass();
   });
 
-  test(title('a reader that missed a push asks for what it missed'), (t) => {
+  test(title('a reader that missed a push requests the missed changes'), (t) => {
     const state = new FleetState();
     const known = new KnownFleet();
     known.take(state.deltaSince(known.position));
@@ -162,22 +162,22 @@
     const crashed = [{ contentKey: 'missed', knownCrashes: 0 }];
     state.apply({ type: 'recordCrashes', crashed, survived: [] });
     const pushed = state.position;
-    state.apply({ type: 'recordLeave', endpointId: 'heard' });
+    state.apply({ type: 'recordLeave', endpointId: 'received' });
     state.apply({ type: 'recordCrashes', crashed: [], survived: ['missed'] });
     const second = state.deltaSince(pushed);
     known.take(second);
-    t.true(known.isLeaving('heard'));
-    const answer = state.deltaSince(known.position);
+    t.true(known.isLeaving('received'));
+    const reply = state.deltaSince(known.position);
     t.deepEqual(
-      answer.crashes?.records.map(({ contentKey }) => contentKey),
+      reply.crashes?.records.map(({ contentKey }) => contentKey),
       ['missed'],
     );
-    known.take(answer);
+    known.take(reply);
     t.true(known.isLeaving('missed'));
     t.deepEqual(known.position, state.position);
   });
 
-  test(title('a snapshot holds everything'), (t) => {
+  test(title('a snapshot contains the whole state'), (t) => {
     const state = new FleetState();
     const cluster = { clusterId: 'c', initialMembers: ['a'], jobGroupCount: 4, voterCount: 3 };
     for (const next of [put(3), { type: 'recordLeave', endpointId: 'e' } as const])
@@ -201,8 +201,8 @@
   });
 });
 
-describe('runs of an endpoint', () => {
-  test(title('have ids that differ where the runs do, and give the id of the endpoint'), (t) => {
+describe('incarnations of an endpoint', () => {
+  test(title('have ids that are unique and contain the endpoint id'), (t) => {
     const run = fc.record({
       endpointId: fc.string({ unit: fc.constantFrom('a', '#', '0', '1'), maxLength: 4 }),
       startedAtMs: fc.nat(3),
@@ -217,10 +217,10 @@
     t.pass();
   });
 
-  test(title('a run that leaves does not keep the next one out'), (t) => {
+  test(title('a draining incarnation does not exclude the next incarnation'), (t) => {
     const state = new FleetState();
     state.apply({ type: 'recordLeave', endpointId: 'e', startedAtMs: 1000 });
-    // Written before starts were told.
+    // Written by a version that did not record start times.
     state.apply({ type: 'recordLeave', endpointId: 'e' });
     const copy = new FleetState();
     copy.restore(state.toData());
@@ -247,25 +247,25 @@
     sequence,
   });
 
-  test(title('gives what is new since a cursor, and all to a stranger'), (t) => {
+  test(title('returns the changes since a cursor, and all heartbeats for another epoch'), (t) => {
     const registry = new EndpointRegistry('epoch');
-    t.true(registry.hear(heartbeat(2), 0, 100));
-    t.false(registry.hear(heartbeat(1), 0, 200));
+    t.true(registry.record(heartbeat(2), 0, 100));
+    t.false(registry.record(heartbeat(1), 0, 200));
     const first = registry.since('', 0, 300);
     t.is(first.heartbeats[0]?.ageMs, 200);
     t.is(registry.since('epoch', first.cursor, 300).heartbeats.length, 0);
     t.is(registry.since('other', first.cursor, 300).heartbeats.length, 1);
-    registry.forgetSilent(60_000);
+    registry.forgetExpired(60_000);
     t.is(registry.since('', 0, 60_000).heartbeats.length, 0);
   });
 
-  test(title('a new run counts from its first heartbeat, and none of the run before'), (t) => {
+  test(title('rejects heartbeats of an incarnation after those of a newer one'), (t) => {
     const registry = new EndpointRegistry('epoch');
-    t.true(registry.hear(heartbeat(40, 1000), 0, 100));
-    t.true(registry.hear(heartbeat(1, 2000), 0, 200));
-    t.false(registry.hear(heartbeat(41, 1000), 0, 300));
-    t.false(registry.hear(heartbeat(99), 0, 300), 'one that does not tell its start');
-    t.true(registry.hear(heartbeat(2, 2000), 0, 400));
+    t.true(registry.record(heartbeat(40, 1000), 0, 100));
+    t.true(registry.record(heartbeat(1, 2000), 0, 200));
+    t.false(registry.record(heartbeat(41, 1000), 0, 300));
+    t.false(registry.record(heartbeat(99), 0, 300), 'a heartbeat without a start time');
+    t.true(registry.record(heartbeat(2, 2000), 0, 400));
     t.is(registry.runOf('e')?.startedAtMs, 2000);
     t.is(registry.since('', 0, 400).heartbeats.length, 1);
   });
