--- a/packages/fleet/src/configuration.ts
+++ b/packages/fleet/src/configuration.ts
@@ -1,98 +1,100 @@
 /**
  * The configuration document of a fleet: routes from hosts and paths to services, the services,
- * and the limits on what callers may send.
+ * and the limits of caller requests.
  */
 import { workspaceProblem } from './workspace.js';
 import type { Workspace } from './workspace.js';
 
 /**
- * What a route carries. `idempotent` requests may run more than once; `once` requests and
- * streams run at most once, a resumable stream may go on elsewhere; `jobs` takes batch jobs.
+ * Kind of the requests of a route. `idempotent` requests may be executed more than once; `once` and
+ * `stream` requests are executed at most once, but a resumable stream may continue at another
+ * endpoint; `jobs` accepts batch jobs.
  */
 export type RouteKind = 'idempotent' | 'once' | 'stream' | 'jobs';
 
-/** A share of a route's requests for one service. */
+/** A service that receives a share of a route's requests. */
 export interface RouteTarget {
   readonly service: string;
-  /** Relative to the other targets; 0 takes nothing. */
+  /** Relative to the other targets; a target with weight 0 receives no requests. */
   readonly weight: number;
 }
 
-/** What holds for the batch jobs of a route. */
+/** Rules for the batch jobs of a route. */
 export interface JobRules {
-  /** Time after its submission at which all results of a job are due. */
+  /** Time after the submission of a job at which all its results are due. */
   readonly resultsDueMs: number;
-  /** Time after the submission from which an item may be given up. */
+  /** Time after the submission from which an unfinished item may be abandoned. */
   readonly keepItemsMs: number;
-  /** Tokens of unfinished items over all entries; 0 is no limit. */
+  /** Maximum tokens of unfinished items over all entries; 0 means no limit. */
   readonly maxWaitingTokens: number;
 }
 
-/** One route. */
+/** Maps requests of a host and path prefix to services. */
 export interface Route {
   readonly name: string;
-  /** Host that requests name, in lower case. */
+  /** Host that requests are addressed to, in lower case. */
   readonly host: string;
   /** Begins and ends with a slash. */
   readonly pathPrefix: string;
   readonly kind: RouteKind;
   readonly targets: readonly RouteTarget[];
-  /** Longest time that a request is kept waiting. */
+  /** Maximum time that a request may wait. */
   readonly timeLimitMs: number;
-  /** Time within which an answer (of a stream: its first event) is on time. */
+  /** Latency target of a response, or of the first event of a stream. */
   readonly targetMs: number;
-  /** 0 is the most urgent. */
+  /** Priority; 0 is the most urgent. */
   readonly rank: number;
-  /** Most endpoints that one request may be sent to. */
+  /** Maximum number of endpoints that one request may be sent to. */
   readonly maxAttempts: number;
-  /** Whether a stream may go on at another endpoint. */
+  /** Whether a stream may continue at another endpoint. */
   readonly isResumable: boolean;
-  /** Longest pause between the events of a stream that is on time. */
+  /** Maximum pause between events with which a stream meets its target. */
   readonly longestPauseMs: number;
   readonly jobs?: JobRules;
-  /** Whether callers need no API key; left out by earlier programs. */
+  /** Whether callers need no API key; omitted by earlier versions. */
   readonly isPublic?: boolean;
 }
 
-/** One service. */
+/** A service that the endpoints of the fleet provide. */
 export interface Service {
   readonly name: string;
-  /** Path that tells whether an endpoint is healthy. */
+  /** Path of the health check of an endpoint. */
   readonly healthPath: string;
-  /** Connections that an endpoint takes from all callers. */
+  /** Maximum connections to an endpoint over all callers. */
   readonly maxConnections: number;
 }
 
-/** Limits on what callers may send. */
+/** Limits of caller requests. */
 export interface CallerLimits {
   readonly maxHeaderBytes: number;
   readonly maxBodyBytes: number;
   readonly headerTimeoutMs: number;
-  /** Time that a connection may stay idle. */
+  /** Maximum time that a connection may be idle. */
   readonly idleTimeoutMs: number;
 }
 
-/** A whole configuration. */
+/** A complete configuration. */
 export interface Configuration {
-  /** Given by the operator; the highest is in force. */
+  /** Set by the operator; the highest version is in force. */
   readonly version: number;
   readonly routes: readonly Route[];
   readonly services: readonly Service[];
   readonly limits: CallerLimits;
-  /** Undefined: nobody needs an API key. An empty list lets nobody in but on public routes. */
+  /** If undefined, no API key is required. An empty list allows requests only to public routes. */
   readonly workspaces?: readonly Workspace[];
 }
 
-/** Why a configuration cannot be in force; undefined where it can. */
+/** Returns why a configuration is invalid; undefined if it is valid. */
 export function configurationProblem(configuration: Configuration): string | undefined {
   const services = new Set(configuration.services.map((service) => service.name));
-  const places = new Set<string>();
+  const hostPrefixes = new Set<string>();
   for (const route of configuration.routes) {
     const problem = routeProblem(route, services);
     if (problem !== undefined) return `route ${route.name}: ${problem}`;
-    const place = `${route.host} ${route.pathPrefix}`;
-    if (places.has(place)) return `route ${route.name}: another route has the same host and prefix`;
-    places.add(place);
+    const hostPrefix = `${route.host} ${route.pathPrefix}`;
+    if (hostPrefixes.has(hostPrefix))
+      return `route ${route.name}: another route has the same host and prefix`;
+    hostPrefixes.add(hostPrefix);
   }
   return workspaceProblem(configuration.workspaces ?? []);
 }
--- a/packages/fleet/src/fleet-state.ts
+++ b/packages/fleet/src/fleet-state.ts
@@ -1,7 +1,7 @@
 /**
- * State machine of the fleet group: the configuration in force, the endpoints that have said
- * that they leave, the cluster of the stores, and the contents under which endpoints have ended. What is in here was acknowledged by a quorum
- * and never reverts.
+ * State machine of the fleet group: the configuration in force, the endpoints that are draining, the
+ * store cluster, and the request contents under which endpoints have crashed. All of it was
+ * acknowledged by a quorum and never reverts.
  */
 import { CrashRecords } from '@shedline/quarantine';
 import type { CrashChanges, CrashCommand, CrashRecordsData } from '@shedline/quarantine';
@@ -10,53 +10,53 @@
 import { UNKNOWN_START_MS, runIdOf } from './endpoint-run.js';
 import type { EndpointRun } from './endpoint-run.js';
 
-/** Leave records kept; an endpoint is gone long before its record is dropped. */
+/** Maximum number of leave records; an endpoint stops long before its record is removed. */
 const MAX_LEAVE_RECORDS = 4000;
 
 /** Puts a configuration in force if its version is the highest. */
 export interface PutConfiguration {
   readonly type: 'putConfiguration';
   readonly configuration: Configuration;
-  /** The text that the operator sent; read back unchanged. */
+  /** The text that the operator sent; returned unchanged. */
   readonly document: string;
 }
 
-/** Records for good that a run of an endpoint leaves. */
+/** Records permanently that an endpoint incarnation drains. */
 export interface RecordLeave {
   readonly type: 'recordLeave';
   readonly endpointId: string;
-  /** Start of the run; left out by programs that took each id for one run. */
+  /** Start time of the incarnation; omitted by earlier versions, which did not tell them apart. */
   readonly startedAtMs?: number;
 }
 
-/** Forms the cluster of the stores; the first one counts. */
+/** Forms the store cluster; only the first such command takes effect. */
 export interface FormStores {
   readonly type: 'formStores';
   readonly cluster: StoreCluster;
 }
 
-/** The cluster of the stores as it was formed. */
+/** The store cluster as it was formed. */
 export interface StoreCluster {
   readonly clusterId: string;
-  /** Identities of the stores that formed it. */
+  /** Member ids of the stores that formed it. */
   readonly initialMembers: readonly string[];
   readonly jobGroupCount: number;
   readonly voterCount: number;
 }
 
-/** Has a store emptied, so that its instance can be taken away. */
+/** Starts to move all groups off a store, so that its instance can be removed. */
 export interface RetireStore {
   readonly type: 'retireStore';
   /** Name of the store process. */
   readonly store: string;
-  /** Name of its instance, by which operators ask; left out by earlier programs. */
+  /** Name of its instance, which operators use; omitted by earlier versions. */
   readonly instance?: string;
 }
 
 /** Any command of the fleet group. */
 export type FleetCommand = PutConfiguration | RecordLeave | FormStores | RetireStore | CrashCommand;
 
-/** Answer to a command; `outcome` says whether the state changed. */
+/** Reply to a command; `outcome` is `stored` if the state changed. */
 export interface FleetAnswer {
   readonly ok: true;
   readonly outcome: 'stored' | 'held';
@@ -64,32 +64,32 @@
   readonly version: number;
 }
 
-/** How far a reader knows the state. */
+/** The position up to which a reader knows the state. */
 export interface FleetPosition {
-  /** Version known; -1 for none. */
+  /** Known version of the configuration; -1 for none. */
   readonly version: number;
-  /** Leave records known. */
+  /** Number of known leave records. */
   readonly leaveCount: number;
-  /** Newest change known of {@link CrashRecords}; left out by earlier programs. */
+  /** Newest known change of {@link CrashRecords}; omitted by earlier versions. */
   readonly crashNumber?: number;
 }
 
-/** What a reader lacks. */
+/** The changes that a reader lacks. */
 export interface FleetDelta {
-  /** Where the reader that it was made for stood; left out by earlier programs. */
+  /** Position that the delta starts from; omitted by earlier versions. */
   readonly since?: FleetPosition;
   readonly position: FleetPosition;
   readonly configuration?: Configuration;
-  /** Ids of the runs that leave, those that the reader lacks. */
+  /** Ids of the draining incarnations that the reader lacks. */
   readonly leaving: readonly string[];
   readonly stores?: StoreCluster;
-  /** Stores that are to be emptied; the whole list. */
+  /** Complete list of the retiring stores. */
   readonly retiringStores: readonly string[];
-  /** Contents under which endpoints have ended; left out where the reader knows all. */
+  /** Contents under which endpoints have crashed; omitted if the reader knows all of them. */
   readonly crashes?: CrashChanges;
 }
 
-/** Plain form of the state. */
+/** Serializable form of the state. */
 interface FleetData {
   readonly configuration: Configuration | undefined;
   readonly document: string;
@@ -97,9 +97,9 @@
   readonly forgottenLeaves: number;
   readonly stores: StoreCluster | undefined;
   readonly retiringStores: readonly string[];
-  /** Instances of these, with the store; left out by earlier programs. */
+  /** Pairs of a retiring instance and its store; omitted by earlier versions. */
   readonly retiringInstances?: readonly (readonly [string, string])[];
-  /** Left out by earlier programs. */
+  /** Omitted by earlier versions. */
   readonly crashes?: CrashRecordsData;
 }
 
@@ -115,7 +115,7 @@
   private retiringInstances = new Map<string, string>();
   private readonly crashes = new CrashRecords();
 
-  /** Where the state stands. */
+  /** The current position of the state. */
   get position(): FleetPosition {
     return {
       version: this.configuration?.version ?? -1,
@@ -124,32 +124,31 @@
     };
   }
 
-  /** The cluster of the stores; undefined before it is formed. */
+  /** The store cluster; undefined before it is formed. */
   get storeCluster(): StoreCluster | undefined {
     return this.stores;
   }
 
-  /** Whether a store is to be emptied. */
+  /** Whether a store is retiring. */
   isRetiring(store: string): boolean {
     return this.retiring.has(store);
   }
 
-  /** The store of an instance that is to be emptied, whether or not it is up. */
+  /** Returns the retiring store of an instance, whether or not it is up. */
   retiringStoreOf(instance: string): string | undefined {
     return this.retiringInstances.get(instance);
   }
 
-  /** The text of the configuration in force; empty before the first one. */
+  /** The text of the configuration in force; empty before the first configuration. */
   get configurationDocument(): string {
     return this.document;
   }
 
-  /** Whether a run of an endpoint has said that it leaves. */
+  /** Whether an endpoint incarnation is recorded as draining. */
   isLeaving(run: EndpointRun): boolean {
     return this.leavingIds.has(runIdOf(run));
   }
 
-  /** Applies a command. */
   apply(command: FleetCommand): FleetAnswer {
     const changed = match(command)
       .with({ type: 'putConfiguration' }, (c) => this.putConfiguration(c))
@@ -162,24 +161,25 @@
     return { ok: true, outcome, version: this.position.version };
   }
 
-  /** What a reader at `known` lacks. */
+  /** Returns the changes that a reader at position `known` lacks. */
   deltaSince(known: FleetPosition): FleetDelta {
     const { position, configuration, stores } = this;
-    const isOlder = configuration !== undefined && configuration.version > known.version;
-    const from = Math.max(0, known.leaveCount - this.forgottenLeaves);
+    const isConfigurationNewer =
+      configuration !== undefined && configuration.version > known.version;
+    const firstLacking = Math.max(0, known.leaveCount - this.forgottenLeaves);
     const crashes = this.crashes.changesSince(known.crashNumber ?? 0);
     return {
       since: known,
       position,
-      leaving: this.leaving.slice(from),
+      leaving: this.leaving.slice(firstLacking),
       retiringStores: [...this.retiring],
-      ...(isOlder ? { configuration } : {}),
+      ...(isConfigurationNewer ? { configuration } : {}),
       ...(stores === undefined ? {} : { stores }),
       ...(crashes.records.length === 0 ? {} : { crashes }),
     };
   }
 
-  /** The state in plain form, for a snapshot. */
+  /** Returns the serializable form of the state, for a snapshot. */
   toData(): unknown {
     const { configuration, document, leaving, forgottenLeaves, stores } = this;
     const retiringStores = [...this.retiring];
@@ -196,9 +196,9 @@
     return data;
   }
 
-  /** Takes the place of what is here. */
-  restore(plain: unknown): void {
-    const data = plain as FleetData;
+  /** Replaces the state by the content of a snapshot. */
+  restore(snapshot: unknown): void {
+    const data = snapshot as FleetData;
     this.configuration = data.configuration ?? undefined;
     this.document = data.document;
     this.leaving = [...data.leaving];
--- a/packages/fleet/src/known-fleet.ts
+++ b/packages/fleet/src/known-fleet.ts
@@ -1,21 +1,21 @@
 /**
- * What an entry knows of the fleet's state. It only grows: an answer of a control process that
- * lags changes nothing.
+ * A process's view of the fleet state. It only advances: a reply of a control process that lags
+ * behind changes nothing.
  */
 import type { CrashChanges } from '@shedline/quarantine';
 import { RouteTable } from './route-table.js';
 import type { FleetDelta, FleetPosition, StoreCluster } from './fleet-state.js';
 
-/** What was new in a delta. */
+/** The effective changes of a delta. */
 export interface FleetChanges {
-  /** Ids of the runs that newly leave. */
+  /** Ids of the incarnations that were not known to be draining. */
   readonly newlyLeaving: readonly string[];
   readonly routesChanged: boolean;
-  /** As told; some of it may be known. */
+  /** As received; some of these changes may be known already. */
   readonly crashes: CrashChanges | undefined;
 }
 
-/** The newest state heard of. */
+/** The newest known state of the fleet. */
 export class KnownFleet {
   private table: RouteTable | undefined;
   private leaveCount = 0;
@@ -24,37 +24,37 @@
   private stores: StoreCluster | undefined;
   private readonly retiring = new Set<string>();
 
-  /** Routes in force here; undefined before the first configuration. */
+  /** Routes of the newest known configuration; undefined before the first one. */
   get routes(): RouteTable | undefined {
     return this.table;
   }
 
-  /** The cluster of the stores, once known. */
+  /** The store cluster; undefined until it is known. */
   get storeCluster(): StoreCluster | undefined {
     return this.stores;
   }
 
-  /** Where this view stands. */
+  /** The position up to which the state is known. */
   get position(): FleetPosition {
     const { leaveCount, crashNumber } = this;
     return { version: this.table?.version ?? -1, leaveCount, crashNumber };
   }
 
-  /** Whether a run of an endpoint has said that it leaves. */
+  /** Whether an endpoint incarnation is recorded as draining. */
   isLeaving(runId: string): boolean {
     return this.leavingIds.has(runId);
   }
 
-  /** Whether a store is to be emptied. */
+  /** Whether a store is retiring. */
   isRetiring(store: string): boolean {
     return this.retiring.has(store);
   }
 
-  /** Takes news; gives what of it is new. */
+  /** Applies a delta; returns its effective changes. */
   take(delta: FleetDelta): FleetChanges {
     const newlyLeaving = delta.leaving.filter((id) => !this.leavingIds.has(id));
     for (const id of newlyLeaving) this.leavingIds.add(id);
-    this.moveOn(delta);
+    this.advancePosition(delta);
     for (const store of delta.retiringStores) this.retiring.add(store);
     if (delta.stores !== undefined) this.stores = delta.stores;
     const { configuration } = delta;
@@ -65,10 +65,11 @@
   }
 
   /**
-   * News that were pushed begin where the ones before ended: a reader that missed those stays where it is,
-   * and asks for them. While it moved on all the same, a missed leave was never heard of.
+   * Advances the position, unless the delta starts after it. A pushed delta starts where the previous
+   * one ended, so a reader that missed a push keeps its position and requests the missed changes;
+   * otherwise it would never learn of a missed drain.
    */
-  private moveOn({ since, position }: FleetDelta): void {
+  private advancePosition({ since, position }: FleetDelta): void {
     if ((since?.leaveCount ?? 0) <= this.leaveCount) {
       this.leaveCount = Math.max(this.leaveCount, position.leaveCount);
     }
--- a/packages/fleet/src/route-table.ts
+++ b/packages/fleet/src/route-table.ts
@@ -1,17 +1,17 @@
 /**
- * Finds the route and the workspace of a request in the configuration in force.
+ * Looks up the route and the workspace of a request in the configuration in force.
  */
 import type { Configuration, Route } from './configuration.js';
 import { WorkspaceTable } from './workspace.js';
 import type { Workspace } from './workspace.js';
 
-/** As whom a request is let in; `anyone`: no key is asked for. */
+/** Result of the access check of a request; `anyone` if no API key is required. */
 export type Access =
   | { readonly kind: 'anyone' }
   | { readonly kind: 'workspace'; readonly workspace: Workspace }
   | { readonly kind: 'refused'; readonly reason: 'no key' | 'unknown key' };
 
-/** Routes of one configuration, by host. */
+/** The routes of one configuration, by host. */
 export class RouteTable {
   readonly version: number;
   readonly configuration: Configuration;
@@ -28,23 +28,23 @@
       routes.push(route);
       this.byHost.set(route.host, routes);
     }
-    // The longest prefix that matches wins, so the longest are tried first.
+    // The longest matching prefix wins, so longer prefixes are tried first.
     for (const routes of this.byHost.values()) {
       routes.sort((a, b) => b.pathPrefix.length - a.pathPrefix.length);
     }
   }
 
-  /** The route of a request. A port in the host does not count. */
+  /** Returns the route of a request; a port in the host is ignored. */
   find(host: string, path: string): Route | undefined {
     return this.byHost.get(hostName(host))?.find((route) => path.startsWith(route.pathPrefix));
   }
 
-  /** Whether callers show API keys. */
+  /** Whether the configuration uses API keys. */
   get usesKeys(): boolean {
     return this.workspaces !== undefined;
   }
 
-  /** As whom a caller with this key may use a route. */
+  /** Checks whether a caller with this API key may use a route. */
   access(route: Route, apiKey: string | undefined): Access {
     if (this.workspaces === undefined || route.isPublic === true) return { kind: 'anyone' };
     if (apiKey === undefined) return { kind: 'refused', reason: 'no key' };
@@ -53,25 +53,25 @@
     return { kind: 'workspace', workspace };
   }
 
-  /** Routes of a host that take batch jobs. */
+  /** Returns the routes of a host that accept batch jobs. */
   jobRoutes(host: string): Route[] {
     return (this.byHost.get(hostName(host)) ?? []).filter((route) => route.kind === 'jobs');
   }
 }
 
-/** The name in a `Host` header, in lower case and without its port. */
+/** Returns the name in a `Host` header, in lower case and without its port. */
 export function hostName(host: string): string {
   const colon = host.lastIndexOf(':');
   return (colon === -1 ? host : host.slice(0, colon)).toLowerCase();
 }
 
-/** The service for one request; `unit` in [0, 1) decides between the targets. */
-export function chooseService(route: Route, unit: number): string {
+/** Chooses the service for one request by weight; `random` is a number in [0, 1). */
+export function chooseService(route: Route, random: number): string {
   const total = route.targets.reduce((sum, target) => sum + target.weight, 0);
-  let left = unit * total;
+  let remaining = random * total;
   for (const target of route.targets) {
-    if (target.weight > 0 && left < target.weight) return target.service;
-    left -= target.weight;
+    if (target.weight > 0 && remaining < target.weight) return target.service;
+    remaining -= target.weight;
   }
   return route.targets.findLast((target) => target.weight > 0)?.service ?? '';
 }
--- a/packages/fleet/src/workspace.test.ts
+++ b/packages/fleet/src/workspace.test.ts
@@ -31,22 +31,25 @@
     keyDigests: keys.map(digestOfKey),
   });
 
-  test(title('a key opens its own workspace, and only while the configuration holds it'), (t) => {
-    const workspaces = [workspace('a', 'k1', 'k2'), workspace('b', 'k3'), workspace('c')];
-    const table = new RouteTable({ ...base, workspaces });
-    const nameOf = (key?: string): string | undefined => {
-      const access = table.access(route, key);
-      return access.kind === 'workspace' ? access.workspace.name : undefined;
-    };
-    t.deepEqual([nameOf('k1'), nameOf('k2'), nameOf('k3')], ['a', 'a', 'b']);
-    t.deepEqual(table.access(route, 'k4'), { kind: 'refused', reason: 'unknown key' });
-    t.deepEqual(table.access(route, undefined), { kind: 'refused', reason: 'no key' });
-    t.deepEqual(table.access({ ...route, isPublic: true }, 'k4'), { kind: 'anyone' });
-    t.deepEqual(new RouteTable(base).access(route, undefined), { kind: 'anyone' });
-    t.is(new RouteTable({ ...base, workspaces: [] }).access(route, 'k1').kind, 'refused');
-  });
+  test(
+    title('a key grants access to its own workspace, and only while the configuration contains it'),
+    (t) => {
+      const workspaces = [workspace('a', 'k1', 'k2'), workspace('b', 'k3'), workspace('c')];
+      const table = new RouteTable({ ...base, workspaces });
+      const nameOf = (key?: string): string | undefined => {
+        const access = table.access(route, key);
+        return access.kind === 'workspace' ? access.workspace.name : undefined;
+      };
+      t.deepEqual([nameOf('k1'), nameOf('k2'), nameOf('k3')], ['a', 'a', 'b']);
+      t.deepEqual(table.access(route, 'k4'), { kind: 'refused', reason: 'unknown key' });
+      t.deepEqual(table.access(route, undefined), { kind: 'refused', reason: 'no key' });
+      t.deepEqual(table.access({ ...route, isPublic: true }, 'k4'), { kind: 'anyone' });
+      t.deepEqual(new RouteTable(base).access(route, undefined), { kind: 'anyone' });
+      t.is(new RouteTable({ ...base, workspaces: [] }).access(route, 'k1').kind, 'refused');
+    },
+  );
 
-  test(title('two workspaces may not share a key or a name; the problem quotes no key'), (t) => {
+  test(title('two workspaces may not share a key or a name; the error contains no key'), (t) => {
     const problemOf = (...workspaces: Workspace[]): string | undefined =>
       configurationProblem({ ...base, workspaces });
     t.is(problemOf(workspace('a', 'k', 'k'), workspace('b', 'l')), undefined);
--- a/packages/fleet/src/workspace.ts
+++ b/packages/fleet/src/workspace.ts
@@ -1,26 +1,32 @@
 /**
- * The workspaces of a configuration: who calls, by which keys, how often and how urgently.
+ * The workspaces of a configuration, with their API keys, rate limits and priorities.
  */
 import { createHash } from 'node:crypto';
 import type { RateLimit } from '@shedline/types';
 
-/** One workspace. */
+/** A customer that owns services and calls with its own API keys. */
 export interface Workspace {
   readonly name: string;
-  /** Digests of its API keys, see {@link digestOfKey}: the keys themselves stay with the control processes. */
+  /**
+   * Digests of its API keys, see {@link digestOfKey}; the keys themselves are known only to the control
+   * processes.
+   */
   readonly keyDigests: readonly string[];
-  /** Goes before the rank of a route; 0 is the most urgent. Undefined: the route decides. */
+  /** Priority that overrides the rank of a route; 0 is the most urgent. */
   readonly rank?: number;
-  /** Undefined: no limit. */
+  /** Rate limit; unlimited if undefined. */
   readonly limit?: RateLimit;
 }
 
-/** Stands for an API key wherever it is kept or compared, so that no key reaches an entry's memory, log or error. */
+/**
+ * Returns the digest that replaces an API key wherever it is stored or compared, so that no key is
+ * exposed in the memory, logs or errors of an entry.
+ */
 export function digestOfKey(key: string): string {
   return createHash('sha256').update(key).digest('base64url');
 }
 
-/** Why the workspaces cannot be in force; undefined where they can. */
+/** Returns why the workspaces are invalid; undefined if they are valid. */
 export function workspaceProblem(workspaces: readonly Workspace[]): string | undefined {
   const names = new Set<string>();
   const owners = new Map<string, string>();
@@ -48,7 +54,7 @@
     }
   }
 
-  /** The workspace that holds a key; undefined where none does. */
+  /** Returns the workspace of an API key; undefined if no workspace has it. */
   findByKey(key: string): Workspace | undefined {
     return this.byDigest.get(digestOfKey(key));
   }
