--- a/packages/control-client/src/control-client.ts
+++ b/packages/control-client/src/control-client.ts
@@ -1,5 +1,5 @@
 /**
- * Calls of entries and tools to the control instances of a fleet with listed peers.
+ * Calls of entries and tools to the control instances of a fleet with statically configured peers.
  */
 import { TABLE_GROUP, groupOf } from '@shedline/types';
 import type { JobView } from '@shedline/types';
@@ -28,16 +28,16 @@
 /** Options of {@link ControlClient}. */
 export interface ControlClientOptions {
   readonly ports: readonly ControlPort[];
-  /** Longest time that one call tries for. */
+  /** Maximum duration of a call, including its retries. */
   readonly timeoutMs?: number;
 }
 
-/** Calls to whichever control instance leads a group. */
+/** Calls the control instance that leads a group. */
 export class ControlClient {
   private readonly ports: readonly ControlPort[];
   private readonly timeoutMs: number;
   private readonly caller: LeaderCaller;
-  private knownGroupCount = 0;
+  private cachedGroupCount = 0;
 
   constructor(options: ControlClientOptions) {
     this.ports = options.ports;
@@ -45,15 +45,15 @@
     this.caller = new LeaderCaller({ ports: () => this.ports });
   }
 
-  /** Number of job groups; asked for once. */
+  /** Returns the number of job groups; requested once and cached. */
   async groupCount(): Promise<number> {
-    if (this.knownGroupCount === 0) {
-      this.knownGroupCount = (await this.callAny('groups', {})) as number;
+    if (this.cachedGroupCount === 0) {
+      this.cachedGroupCount = (await this.callAny('groups', {})) as number;
     }
-    return this.knownGroupCount;
+    return this.cachedGroupCount;
   }
 
-  /** The group of a key. */
+  /** Returns the job group of a key. */
   async groupOfKey(key: string): Promise<number> {
     return groupOf(key, await this.groupCount());
   }
@@ -75,17 +75,17 @@
     return this.callLeader('propose', TABLE_GROUP, payload) as Promise<OrderAnswer>;
   }
 
-  /** A job; undefined where the workspace has none by this id. */
+  /** Returns a job; undefined if the workspace has no job with this id. */
   job(group: number, jobId: string, workspace: string): Promise<JobView | undefined> {
     return this.query(group, { type: 'job', jobId, workspace }) as Promise<JobView | undefined>;
   }
 
-  /** The jobs of a workspace in one group. */
+  /** Returns the jobs of a workspace in one group. */
   jobs(group: number, workspace: string): Promise<JobView[]> {
     return this.query(group, { type: 'jobs', workspace }) as Promise<JobView[]>;
   }
 
-  /** A page of results. */
+  /** Returns a page of results; undefined if there is no such job. */
   results(
     group: number,
     page: { jobId: string; workspace: string; fromIndex: number; maxBytes: number },
@@ -93,47 +93,47 @@
     return this.query(group, { type: 'results', ...page }) as Promise<ResultsPage | undefined>;
   }
 
-  /** What waits in a group. */
+  /** Returns the demand of the waiting items of a group, by service. */
   demand(group: number): Promise<ServiceDemand[]> {
     return this.query(group, { type: 'demand' }) as Promise<ServiceDemand[]>;
   }
 
-  /** The table since a revision. */
+  /** Returns the changes of the table since a revision. */
   table(fromRevision: number): Promise<TableDelta> {
     return this.query(TABLE_GROUP, { type: 'table', fromRevision }) as Promise<TableDelta>;
   }
 
-  /** Where a revision is in force. */
+  /** Returns at which entries a revision of the table is in force. */
   inForce(revision: number): Promise<InForceReport> {
     return this.query(TABLE_GROUP, { type: 'inForce', revision }) as Promise<InForceReport>;
   }
 
-  /** All orders remembered. */
+  /** Returns all stored orders. */
   orders(): Promise<Order[]> {
     return this.query(TABLE_GROUP, { type: 'orders' }) as Promise<Order[]>;
   }
 
-  /** Confirms the revision of an entry and gets what is newer. */
+  /** Confirms the table revision of an entry and returns the newer changes. */
   refresh(status: EntryStatus, timeoutMs: number): Promise<RefreshAnswer> {
     return this.callLeader('refresh', TABLE_GROUP, status, timeoutMs) as Promise<RefreshAnswer>;
   }
 
-  /** Renews item leases; answers those that are no longer open. */
+  /** Renews item leases; returns the ids of the leases that are no longer open. */
   renew(group: number, owner: string, leaseIds: readonly string[]): Promise<string[]> {
     const payload = { group, owner, leaseIds };
     return this.callLeader('renew', group, payload) as Promise<string[]>;
   }
 
-  /** State of every control instance that answers. */
+  /** Returns the status of every control instance that replies. */
   async statuses(): Promise<ControlStatus[]> {
-    const answers = this.ports.map(async (port) => {
+    const replies = this.ports.map(async (port) => {
       try {
         return (await port.call('status', {}, 1000)) as ControlStatus;
       } catch {
         return undefined;
       }
     });
-    const statuses = await Promise.all(answers);
+    const statuses = await Promise.all(replies);
     return statuses.filter((status) => status !== undefined);
   }
 
--- a/packages/control-client/src/index.ts
+++ b/packages/control-client/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * Calls from entries to the control instances.
+ * Calls from entries and tools to the control instances.
  */
 export * from './control-client.js';
 export * from './protocol.js';
--- a/packages/control-client/src/leader-caller.test.ts
+++ b/packages/control-client/src/leader-caller.test.ts
@@ -17,7 +17,7 @@
   });
 }
 
-/** Ports of which one leads; `holders` know who, the others do not hold the group. */
+/** Creates ports of which one leads; `holders` name the leader, the others lack the group. */
 function portsOf(names: readonly string[], leader: string, holders: readonly string[]): CallPort[] {
   return names.map((name) => ({
     name,
@@ -31,24 +31,24 @@
 
 describe('LeaderCaller', () => {
   /**
-   * No batch job was taken for seconds in a fleet of 30 stores of which 5 held the group: a caller asked one
-   * store after the other with a pause that doubled each time, and its time was over before it met one of
-   * the 5. The evidence: entries whose first submissions were all accepted 3 s after they came, in one batch.
+   * Guards against delayed job submissions in a fleet of 30 stores of which 5 hold the group. With a
+   * doubling pause after each store, a caller timed out before it reached one of the 5, and the first
+   * submissions of an entry were accepted only after 3 s.
    */
-  test(title('goes through many that do not hold the group without a pause'), async (t) => {
+  test(title('tries many processes that do not hold the group without a pause'), async (t) => {
     const names = Array.from({ length: 30 }, (_, index) => `store-${index}`);
     const ports = portsOf(names, 'store-29', ['store-28', 'store-29']);
     const caller = new LeaderCaller({ ports: () => ports });
     t.is(await caller.call('ask', GROUP, {}, 1000), 'answer of store-29');
   });
 
-  test(title('asks first who is said to lead the group'), async (t) => {
-    const asked: string[] = [];
+  test(title('tries the first listed process of each group first'), async (t) => {
+    const calls: string[] = [];
     const ports = ['a', 'b', 'c'].map((name): CallPort => ({
       name,
       isReady: true,
       call: () => {
-        asked.push(name);
+        calls.push(name);
         return Promise.resolve(name);
       },
     }));
@@ -62,16 +62,16 @@
     });
     await caller.call('ask', 1, {}, 1000);
     await caller.call('ask', 2, {}, 1000);
-    t.deepEqual(asked, ['b', 'c']);
+    t.deepEqual(calls, ['b', 'c']);
   });
 
-  test(title('pauses where nobody leads, and gives up in its time'), async (t) => {
-    const asked = new Map<string, number>();
+  test(title('pauses if no process leads, and stops at its timeout'), async (t) => {
+    const calls = new Map<string, number>();
     const ports = ['a', 'b'].map((name): CallPort => ({
       name,
       isReady: true,
       call: () => {
-        asked.set(name, (asked.get(name) ?? 0) + 1);
+        calls.set(name, (calls.get(name) ?? 0) + 1);
         return Promise.reject(unavailable(name));
       },
     }));
@@ -80,27 +80,30 @@
       instanceOf: ShedlineError,
     });
     t.is(error.ran, 'no');
-    t.true((asked.get('a') ?? 0) < 10, `${asked.get('a')} questions in 300 ms`);
-    t.true((asked.get('b') ?? 0) > 0);
+    t.true((calls.get('a') ?? 0) < 10, `${calls.get('a')} calls in 300 ms`);
+    t.true((calls.get('b') ?? 0) > 0);
   });
 
-  test(title('pauses after asking those that are up, however many are silent'), async (t) => {
-    let asked = 0;
-    const up: CallPort = {
-      name: 'up',
-      isReady: true,
-      call: () => {
-        asked += 1;
-        return Promise.reject(unavailable('up'));
-      },
-    };
-    const silent = Array.from({ length: 20 }, (_, index): CallPort => {
-      return { name: `silent-${index}`, isReady: false, call: () => Promise.reject(new Error()) };
-    });
-    const caller = new LeaderCaller({ ports: () => [up, ...silent] });
-    await t.throwsAsync(caller.call('ask', GROUP, {}, 300), { instanceOf: ShedlineError });
-    t.true(asked < 10, `${asked} questions in 300 ms`);
-  });
+  test(
+    title('pauses after trying all processes that are up, regardless of those that are down'),
+    async (t) => {
+      let calls = 0;
+      const up: CallPort = {
+        name: 'up',
+        isReady: true,
+        call: () => {
+          calls += 1;
+          return Promise.reject(unavailable('up'));
+        },
+      };
+      const down = Array.from({ length: 20 }, (_, index): CallPort => {
+        return { name: `down-${index}`, isReady: false, call: () => Promise.reject(new Error()) };
+      });
+      const caller = new LeaderCaller({ ports: () => [up, ...down] });
+      await t.throwsAsync(caller.call('ask', GROUP, {}, 300), { instanceOf: ShedlineError });
+      t.true(calls < 10, `${calls} calls in 300 ms`);
+    },
+  );
 });
 
 function rank(port: CallPort, leader: string | undefined): number {
--- a/packages/control-client/src/leader-caller.ts
+++ b/packages/control-client/src/leader-caller.ts
@@ -1,72 +1,72 @@
 /**
- * Finds the leader of a group and repeats what may be repeated. Every command carries an
- * identity of its own, so a repeated one changes nothing twice.
+ * Finds the leader of a group and retries calls that may be retried. Every command has a unique id,
+ * so a retried command takes effect only once.
  */
 import { setTimeout as pause } from 'node:timers/promises';
 import { ShedlineError, toShedlineError } from '@shedline/errors';
 
-const MAX_ATTEMPT_MS = 3000;
+const DEFAULT_MAX_ATTEMPT_MS = 3000;
 const FIRST_PAUSE_MS = 20;
-const MAX_PAUSE_MS = 500;
+const DEFAULT_MAX_PAUSE_MS = 500;
 
 /** A process that may lead groups. */
 export interface CallPort {
   readonly name: string;
-  /** Whether a call would go out now. */
+  /** Whether a call would be sent immediately. */
   readonly isReady: boolean;
   call(method: string, payload: unknown, timeoutMs: number): Promise<unknown>;
 }
 
-/** Calls whichever process leads a group. */
+/** Calls the process that leads a group. */
 export interface GroupCaller {
   call(method: string, group: number, payload: unknown, timeoutMs: number): Promise<unknown>;
 }
 
 /** Options of {@link LeaderCaller}. */
 export interface LeaderCallerOptions {
-  /** The processes to ask about a group, as of now; the likeliest leader first. */
+  /** Returns the processes to try for a group, the most likely leader first; called per attempt. */
   readonly ports: (group: number) => readonly CallPort[];
-  /** Longest wait for one process before another is asked. */
+  /** Maximum wait for one process before another is tried. */
   readonly maxAttemptMs?: number;
-  /** Longest pause between two attempts. */
+  /** Maximum pause between two attempts. */
   readonly maxPauseMs?: number;
 }
 
-/** {@link GroupCaller} that follows the leaders. */
+/** {@link GroupCaller} that tracks the leaders of groups. */
 export class LeaderCaller implements GroupCaller {
   private readonly ports: (group: number) => readonly CallPort[];
   private readonly maxAttemptMs: number;
   private readonly maxPauseMs: number;
   private readonly leaders = new Map<number, string>();
-  /** Questions since a leader of the group was last known: the place of the next port to ask. */
-  private readonly fruitless = new Map<number, number>();
+  /** Failed attempts since the leader of a group was last known; selects the next port to try. */
+  private readonly failedAttempts = new Map<number, number>();
 
   constructor(options: LeaderCallerOptions) {
     this.ports = options.ports;
-    this.maxAttemptMs = options.maxAttemptMs ?? MAX_ATTEMPT_MS;
-    this.maxPauseMs = options.maxPauseMs ?? MAX_PAUSE_MS;
+    this.maxAttemptMs = options.maxAttemptMs ?? DEFAULT_MAX_ATTEMPT_MS;
+    this.maxPauseMs = options.maxPauseMs ?? DEFAULT_MAX_PAUSE_MS;
   }
 
-  /** Calls until the leader has answered, a failure is final, or the time is up. */
+  /** Retries until the leader replies, a failure is final, or the timeout expires. */
   async call(method: string, group: number, payload: unknown, timeoutMs: number): Promise<unknown> {
     const deadlineMs = performance.now() + timeoutMs;
     let pauseMs = FIRST_PAUSE_MS;
     let ran: 'no' | 'unknown' = 'no';
     for (;;) {
-      const port = this.portFor(group);
+      const port = this.choosePort(group);
       const leftMs = deadlineMs - performance.now();
       try {
         const attemptMs = Math.max(1, Math.min(this.maxAttemptMs, leftMs));
         const answer = await port.call(method, payload, attemptMs);
         this.leaders.set(group, port.name);
-        this.fruitless.delete(group);
+        this.failedAttempts.delete(group);
         return answer;
       } catch (error) {
         const failure = toShedlineError(error, { step: method, peer: port.name, ran: 'unknown' });
         if (failure.ran !== 'no') ran = 'unknown';
-        const final = failure.type !== 'unavailable' || performance.now() + pauseMs > deadlineMs;
-        if (final) throw withRan(failure, ran);
-        if (!this.follow(group, failure) && this.hasAskedAll(group)) {
+        const isFinal = failure.type !== 'unavailable' || performance.now() + pauseMs > deadlineMs;
+        if (isFinal) throw withRan(failure, ran);
+        if (!this.followRedirect(group, failure) && this.hasTriedAll(group)) {
           await pause(pauseMs);
           pauseMs = Math.min(pauseMs * 2, this.maxPauseMs);
         }
@@ -74,19 +74,19 @@
     }
   }
 
-  private portFor(group: number): CallPort {
+  private choosePort(group: number): CallPort {
     const leader = this.leaders.get(group);
     const usable = this.usablePorts(group);
     const known = usable.find((port) => port.name === leader);
-    const port = known ?? usable[(this.fruitless.get(group) ?? 0) % usable.length];
+    const port = known ?? usable[(this.failedAttempts.get(group) ?? 0) % usable.length];
     if (port === undefined) {
-      const message = 'no process that could lead the group is known yet';
+      const message = 'no process that may lead the group is known yet';
       throw new ShedlineError({ type: 'unavailable', message, step: 'call leader' });
     }
     return port;
   }
 
-  /** A call to an instance that is down would wait for it; the others know who leads now. */
+  /** Skips processes that are down, for which a call would wait; the others know the leader. */
   private usablePorts(group: number): readonly CallPort[] {
     const ports = this.ports(group);
     const ready = ports.filter((port) => port.isReady);
@@ -94,25 +94,29 @@
   }
 
   /**
-   * Whether all were asked in vain: only then is a pause due. With a pause after each, callers of 30 stores
-   * of which 5 held a group met none of these for 3 s.
+   * Whether all processes were tried without success; only then does the caller pause. With a pause
+   * after each attempt, callers in a fleet of 30 stores of which 5 held a group reached none of the 5
+   * for 3 s.
    */
-  private hasAskedAll(group: number): boolean {
+  private hasTriedAll(group: number): boolean {
     const count = this.usablePorts(group).length;
-    return count === 0 || (this.fruitless.get(group) ?? 0) % count === 0;
+    return count === 0 || (this.failedAttempts.get(group) ?? 0) % count === 0;
   }
 
-  /** Goes where the failure points; false where it names nobody, and the next one is to be asked. */
-  private follow(group: number, failure: ShedlineError): boolean {
-    const before = this.leaders.get(group);
+  /**
+   * Follows the leader that a failure names. Returns false if it names no other leader, so that the next
+   * process is tried.
+   */
+  private followRedirect(group: number, failure: ShedlineError): boolean {
+    const previous = this.leaders.get(group);
     const leader = failure.details?.leader;
-    const named = this.ports(group).some((port) => port.name === leader && port.isReady);
-    if (typeof leader === 'string' && named && leader !== before) {
+    const isReachable = this.ports(group).some((port) => port.name === leader && port.isReady);
+    if (typeof leader === 'string' && isReachable && leader !== previous) {
       this.leaders.set(group, leader);
       return true;
     }
     this.leaders.delete(group);
-    this.fruitless.set(group, (this.fruitless.get(group) ?? 0) + 1);
+    this.failedAttempts.set(group, (this.failedAttempts.get(group) ?? 0) + 1);
     return false;
   }
 }
--- a/packages/control-client/src/protocol.ts
+++ b/packages/control-client/src/protocol.ts
@@ -1,5 +1,5 @@
 /**
- * Requests that control instances answer.
+ * Requests and replies of control instances.
  */
 import type { JobView } from '@shedline/types';
 import type { JobCommand, JobGroupAnswer, ResultLine, ServiceDemand } from '@shedline/jobs';
@@ -12,14 +12,14 @@
   TableDelta,
 } from '@shedline/table';
 
-type Untimed<T> = T extends { readonly atMs: number } ? Omit<T, 'atMs'> : T;
+type WithoutTimestamp<T> = T extends { readonly atMs: number } ? Omit<T, 'atMs'> : T;
 
-/** A command as a client sends it: the leader adds its clock. */
-export type JobProposal = Untimed<JobCommand>;
+/** A command as a client sends it; the leader adds the time of its clock. */
+export type JobProposal = WithoutTimestamp<JobCommand>;
 /** Any command that can be proposed. */
 export type Proposal = JobProposal | TableCommand | OrderCommand;
 
-/** A linearizable question to a group. */
+/** A linearizable read of a group. */
 export type Query =
   | { readonly type: 'job'; readonly jobId: string; readonly workspace: string }
   | { readonly type: 'jobs'; readonly workspace: string }
@@ -35,21 +35,21 @@
   | { readonly type: 'inForce'; readonly revision: number }
   | { readonly type: 'orders' };
 
-/** Answer to a look at the table. */
+/** Reply to a refresh of the table. */
 export interface RefreshAnswer {
   readonly delta: TableDelta;
-  /** Entries that hold their lease, for the address answers. */
+  /** Entries that hold their lease; they are listed in responses to address requests. */
   readonly entries: readonly EntryStatus[];
 }
 
-/** Part of the results of a job. */
+/** A page of the results of a job. */
 export interface ResultsPage {
   readonly lines: readonly ResultLine[];
   readonly nextIndex: number;
   readonly total: number;
 }
 
-/** State of one group at one control instance. */
+/** Status of one group at one control instance. */
 export interface GroupStatus {
   readonly group: number;
   readonly role: string;
@@ -59,11 +59,11 @@
   readonly appliedIndex: number;
   readonly voters: readonly string[];
   readonly learners: readonly string[];
-  /** Whether the members named are committed. */
+  /** Whether this membership is committed. */
   readonly isConfigCommitted: boolean;
 }
 
-/** State of one control instance. */
+/** Status of one control instance. */
 export interface ControlStatus {
   readonly instance: string;
   readonly memberId: string;
@@ -77,10 +77,10 @@
 /** Method names of the requests. */
 export type ControlMethod = 'propose' | 'query' | 'renew' | 'refresh' | 'status' | 'groups';
 
-/** Anything that answers control requests: a connection or the instance itself. */
+/** Target of control requests: a connection to an instance, or the local instance. */
 export interface ControlPort {
   readonly name: string;
-  /** Whether a call would go out now. */
+  /** Whether a call would be sent immediately. */
   readonly isReady: boolean;
   call(method: ControlMethod, payload: unknown, timeoutMs: number): Promise<unknown>;
   close(): void;
--- a/packages/control-client/src/remote-port.ts
+++ b/packages/control-client/src/remote-port.ts
@@ -1,5 +1,5 @@
 /**
- * A control instance reached over the network.
+ * Calls to a control instance over the network.
  */
 import { PeerClient } from '@shedline/transport';
 import type { PeerSettings } from '@shedline/config';
@@ -13,7 +13,7 @@
   readonly peer: PeerSettings;
 }
 
-/** {@link ControlPort} over a lasting connection. */
+/** {@link ControlPort} over a persistent connection. */
 export class RemoteControlPort implements ControlPort {
   readonly name: string;
   private readonly client: PeerClient;
@@ -33,7 +33,7 @@
     return this.client.isReady;
   }
 
-  /** Bytes sent to the instance so far. */
+  /** Total bytes sent to the instance. */
   get sentBytes(): number {
     return this.client.sentBytes;
   }
