--- a/packages/config/src/config.test.ts
+++ b/packages/config/src/config.test.ts
@@ -18,7 +18,7 @@
 }
 
 describe('settings', () => {
-  test(title('the examples of both users are accepted'), async (t) => {
+  test(title('the example settings are accepted'), async (t) => {
     for (const folder of ['registry', 'forma']) {
       const path = fileURLToPath(new URL(`examples/${folder}/`, ROOT));
       const files = (await readdir(path)).filter((file) => file !== 'table.json');
@@ -30,12 +30,12 @@
     }
   });
 
-  test(title('the committed JSON Schema is the one of the code'), async (t) => {
+  test(title('the committed JSON Schema matches the code'), async (t) => {
     const file = new URL('packages/config/schema/settings.json', ROOT);
     t.deepEqual(JSON.parse(await readFile(file, 'utf8')), settingsJsonSchema());
   });
 
-  test(title('a mistake is named by its field'), (t) => {
+  test(title('an error names the invalid field'), (t) => {
     t.is(problemOf(VALID), '');
     t.regex(problemOf({ ...VALID, entry: { controls: [], keepForMs: -1 } }), /entry\.keepForMs/);
     t.regex(problemOf({ ...VALID, colour: 1 }), /colour/);
--- a/packages/config/src/fleet-schema.test.ts
+++ b/packages/config/src/fleet-schema.test.ts
@@ -15,7 +15,7 @@
 };
 
 describe('settings of a fleet', () => {
-  test(title('fill in defaults and leave unknown fields alone'), (t) => {
+  test(title('get defaults, and may contain unknown fields'), (t) => {
     const checked = checkFleetSettings({ ...SETTINGS, later: 1 }, 'file');
     t.true(checked.isOk);
     if (checked.isErr) return;
@@ -24,21 +24,21 @@
     t.is(checked.value.stopWithinS, 8);
   });
 
-  test(title('name the field that is missing or wrong, in one line'), (t) => {
-    const wrong: [object, RegExp][] = [
+  test(title('are rejected with a one-line error that names the missing or invalid field'), (t) => {
+    const invalid: [object, RegExp][] = [
       [{ ...SETTINGS, host: undefined }, /^file: host: /],
       [{ ...SETTINGS, seeds: ['10.0.0.1'] }, /^file: seeds\.0: use HOST:PORT$/],
       [{ ...SETTINGS, fleetSecret: 'short' }, /^file: fleetSecret: .*16 characters$/],
       [{ ...SETTINGS, stopWithinS: 0 }, /^file: stopWithinS: /],
     ];
-    for (const [settings, message] of wrong) {
+    for (const [settings, message] of invalid) {
       const checked = checkFleetSettings(settings, 'file');
       t.true(checked.isErr);
       if (checked.isErr) t.regex(checked.error.message, message);
     }
   });
 
-  test(title('say where a file cannot be read'), async (t) => {
+  test(title('are rejected with an error that names the unreadable file'), async (t) => {
     const folder = await mkdtemp(join(tmpdir(), 'shedline-settings-'));
     t.teardown(() => rm(folder, { recursive: true }));
     const file = join(folder, 'settings.json');
--- a/packages/config/src/fleet-schema.ts
+++ b/packages/config/src/fleet-schema.ts
@@ -1,6 +1,6 @@
 /**
- * Schema of the settings of one process of a fleet that finds its members itself. Fields that
- * are not known here are left alone: the platform that renders the file may add some.
+ * Schema of the settings of one process of a fleet with dynamic membership. Unknown fields are
+ * ignored, because the platform that renders the file may add some.
  */
 import { readFile } from 'node:fs/promises';
 import { Result } from 'true-myth';
@@ -10,35 +10,37 @@
 const address = z
   .string()
   .regex(/^[^:\s]+:\d{1,5}$/, 'use HOST:PORT')
-  .describe('Where a process listens or connects, HOST:PORT.');
+  .describe('Address to listen on or to connect to, HOST:PORT.');
 const durationMs = (defaultMs: number, text: string): z.ZodDefault<z.ZodNumber> =>
   z.number().positive().default(defaultMs).describe(`${text} Milliseconds.`);
 const durationS = (defaultS: number, text: string): z.ZodDefault<z.ZodNumber> =>
   z.number().positive().default(defaultS).describe(`${text} Seconds.`);
 
 const listenersSchema = z.object({
-  caller: address.optional().describe('Where callers connect; entries only.'),
-  readiness: address.optional().describe('Where the platform asks whether an entry is ready.'),
-  addresses: address.optional().describe('Where callers ask for addresses of entries.'),
-  control: address.optional().describe('Where endpoints and operators connect.'),
-  metrics: address.optional().describe('Where counters and histograms are read.'),
+  caller: address.optional().describe('Address for callers; entries only.'),
+  readiness: address.optional().describe('Address of the readiness check of an entry.'),
+  addresses: address
+    .optional()
+    .describe('Address at which callers request the addresses of entries.'),
+  control: address.optional().describe('Address for endpoints and operators.'),
+  metrics: address.optional().describe('Address of the metrics.'),
 });
 
-/** Settings of one process of a fleet that finds its members itself. */
+/** Settings of one process of a fleet with dynamic membership. */
 export const fleetSettingsSchema = z.object({
   instance: z.string().min(1).describe('Name of the instance, for operators.'),
   availabilityZone: z.string().min(1).describe('Availability zone of the instance.'),
-  host: z.string().min(1).describe('IP number that the other processes reach the instance at.'),
+  host: z.string().min(1).describe('IP address at which other processes reach the instance.'),
   listenHost: z
     .string()
     .optional()
-    .describe('IP number of the process itself, where a relay or translation stands before host.'),
+    .describe('IP address that the process listens on, if host belongs to a proxy or NAT.'),
   firstPeerPort: z
     .number()
     .int()
     .min(1)
     .max(65_000)
-    .describe('First of the ports for traffic between processes; the same at every instance.'),
+    .describe('First port for traffic between processes; the same at every instance.'),
   seeds: z.array(address).describe('Addresses of control processes to join through.'),
   isFounding: z
     .boolean()
@@ -50,8 +52,8 @@
     .min(0)
     .max(3)
     .default(1)
-    .describe('Instances with a disk that may be lost at once.'),
-  dataDir: z.string().optional().describe('Folder for durable state; left out without a disk.'),
+    .describe('Instances with a disk that may be lost simultaneously.'),
+  dataDir: z.string().optional().describe('Directory for durable state; omitted without a disk.'),
   listeners: listenersSchema.default({}),
   logLevel: z.enum(['error', 'warn', 'info', 'debug', 'silent']).default('info'),
   fleetSecret: z
@@ -59,27 +61,27 @@
     .min(16, 'must have at least 16 characters')
     .describe('Shared secret that processes prove to each other.'),
   heartbeatMs: durationMs(1200, 'Time between the heartbeats of an endpoint.'),
-  stopWithinS: durationS(8, 'Time from the request to stop to the end of the process.'),
-  addressKeepS: durationS(1, 'Time for which callers keep an answer with addresses.'),
-  quotaWindowS: durationS(5, 'Length of the windows in which limits of workspaces are looked at.'),
+  stopWithinS: durationS(8, 'Maximum time from a stop request to the exit of the process.'),
+  addressKeepS: durationS(1, 'Time for which callers cache the addresses of entries.'),
+  quotaWindowS: durationS(5, 'Length of the windows in which limits of workspaces are checked.'),
   quotaOvershootShare: z
     .number()
     .min(0)
     .max(1)
     .default(0.1)
-    .describe('Share of a limit by which a window may hold more requests.'),
+    .describe('Share of a limit by which the requests of a window may exceed it.'),
   quotaSlack: z
     .number()
     .min(0)
     .default(20)
-    .describe('Requests that a window may hold beyond that.'),
-  jobRetentionS: durationS(300, 'Time for which a job that is over stays readable.'),
+    .describe('Additional requests of a window beyond quotaOvershootShare.'),
+  jobRetentionS: durationS(300, 'Time for which an ended job stays readable.'),
 });
 
 /** Settings with defaults filled in. */
 export type FleetSettings = z.infer<typeof fleetSettingsSchema>;
 
-/** Checks settings; the error names the field and what is accepted. */
+/** Checks settings; the error names the invalid field and the accepted values. */
 export function checkFleetSettings(
   value: unknown,
   source: string,
@@ -92,7 +94,7 @@
   return Result.err(problem(`${source}: ${name}: ${issue?.message ?? 'not valid'}`, source));
 }
 
-/** Reads and checks a settings file. */
+/** Reads and checks a settings file; the error names the file. */
 export async function readFleetSettings(
   file: string,
 ): Promise<Result<FleetSettings, ShedlineError>> {
--- a/packages/config/src/index.ts
+++ b/packages/config/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * Settings of an instance.
+ * Schemas, reading and checking of settings.
  */
 export * from './schema.js';
 export * from './read-settings.js';
--- a/packages/config/src/read-settings.ts
+++ b/packages/config/src/read-settings.ts
@@ -1,5 +1,5 @@
 /**
- * Reading and checking of settings files.
+ * Reads and checks settings files.
  */
 import { readFile } from 'node:fs/promises';
 import { Result } from 'true-myth';
@@ -8,7 +8,7 @@
 import { settingsSchema } from './schema.js';
 import type { Settings } from './schema.js';
 
-/** Checks settings; the error names the field and what is accepted. */
+/** Checks settings; the error names the invalid field and the accepted values. */
 export function checkSettings(value: unknown, source: string): Result<Settings, ShedlineError> {
   const result = settingsSchema.safeParse(value);
   if (!result.success) {
@@ -17,12 +17,12 @@
     const message = `${source}: ${field === '' ? 'settings' : field}: ${issue?.message ?? ''}`;
     return Result.err(settingsError(message, source));
   }
-  const problem = crossCheck(result.data);
+  const problem = crossFieldProblem(result.data);
   if (problem !== undefined) return Result.err(settingsError(`${source}: ${problem}`, source));
   return Result.ok(result.data);
 }
 
-/** Reads and checks a settings file. */
+/** Reads and checks a settings file; the error names the file. */
 export async function readSettings(file: string): Promise<Result<Settings, ShedlineError>> {
   let text: string;
   try {
@@ -35,16 +35,16 @@
     return checkSettings(JSON.parse(text), file);
   } catch (error) {
     const reason = error instanceof Error ? error.message : String(error);
-    return Result.err(settingsError(`${file}: is no JSON: ${reason}`, file));
+    return Result.err(settingsError(`${file}: is not valid JSON: ${reason}`, file));
   }
 }
 
-/** The JSON Schema of the settings. */
+/** Returns the JSON Schema of the settings. */
 export function settingsJsonSchema(): unknown {
   return z.toJSONSchema(settingsSchema, { io: 'input' });
 }
 
-function crossCheck(settings: Settings): string | undefined {
+function crossFieldProblem(settings: Settings): string | undefined {
   const { control, entry } = settings;
   if (control === undefined && entry === undefined) {
     return 'control, entry: at least one of the two must be set';
@@ -52,16 +52,17 @@
   if (control !== undefined && !control.peers.some((peer) => peer.name === settings.name)) {
     return `control.peers: must contain this instance, ${settings.name}`;
   }
-  const strayMember = control?.bootstrapMembers.find(
+  const unlistedMember = control?.bootstrapMembers.find(
     (member) => !control.peers.some((peer) => peer.name === member),
   );
-  if (strayMember !== undefined) {
-    return `control.bootstrapMembers: ${strayMember} is not in control.peers`;
+  if (unlistedMember !== undefined) {
+    return `control.bootstrapMembers: ${unlistedMember} is not in control.peers`;
   }
-  const strayToken = settings.tokens.findIndex(
+  const invalidTokenIndex = settings.tokens.findIndex(
     (token) => token.role === 'caller' && token.workspace === undefined,
   );
-  if (strayToken !== -1) return `tokens.${strayToken}.workspace: a caller token needs a workspace`;
+  if (invalidTokenIndex !== -1)
+    return `tokens.${invalidTokenIndex}.workspace: a caller token needs a workspace`;
   return undefined;
 }
 
--- a/packages/config/src/schema.ts
+++ b/packages/config/src/schema.ts
@@ -1,6 +1,6 @@
 /**
- * Schema of the settings of one instance. Every field carries its unit, its default and its
- * documentation; the JSON Schema file is generated from here.
+ * Schema of the settings of one instance. Every field has its unit, default and documentation here;
+ * the JSON Schema file is generated from this schema.
  */
 import { z } from 'zod';
 
@@ -8,7 +8,7 @@
   .string()
   .regex(/^[a-zA-Z0-9][a-zA-Z0-9-]{0,62}$/, 'use letters, digits and hyphens')
   .describe('Name of an instance; unique in the fleet.');
-const host = z.string().min(1).describe('IP number to listen on or to connect to.');
+const host = z.string().min(1).describe('IP address to listen on or to connect to.');
 const port = z.number().int().min(0).max(65535).describe('TCP port.');
 const durationMs = (defaultMs: number, text: string): z.ZodDefault<z.ZodNumber> =>
   z.number().positive().default(defaultMs).describe(`${text} Milliseconds.`);
@@ -21,7 +21,7 @@
 });
 
 const tokenSchema = z.strictObject({
-  role: z.enum(['caller', 'operator', 'endpoint']).describe('What the token may do.'),
+  role: z.enum(['caller', 'operator', 'endpoint']).describe('Permissions of the token.'),
   workspace: z.string().optional().describe('Workspace of a caller token.'),
   tokenSha256: z
     .string()
@@ -32,39 +32,45 @@
 const controlSchema = z.strictObject({
   listenHost: host.default('127.0.0.1'),
   listenPort: port.default(7500),
-  dataDir: z.string().min(1).describe('Folder for the durable state; one instance each.'),
+  dataDir: z
+    .string()
+    .min(1)
+    .describe('Directory for the durable state; used by one instance only.'),
   peers: z.array(peerSchema).describe('All control instances of the fleet, this one included.'),
   bootstrapMembers: z
     .array(name)
     .min(1)
-    .describe('Names of the control instances that form the cluster the first time.'),
+    .describe('Names of the control instances that form the cluster initially.'),
   jobGroupCount: z
     .number()
     .int()
     .min(1)
     .max(1024)
     .default(4)
-    .describe('Log groups for jobs and call keys; fixed when the cluster forms.'),
+    .describe('Consensus groups for jobs and call keys; fixed when the cluster is formed.'),
   voterCount: z.number().int().min(1).max(7).default(5).describe('Voters wanted in each group.'),
-  electionTimeoutMs: durationMs(700, 'Silence of a leader before an election.'),
+  electionTimeoutMs: durationMs(700, 'Time without a message from the leader before an election.'),
   heartbeatIntervalMs: durationMs(150, 'Time between heartbeats of a leader.'),
-  replaceAfterMs: durationMs(60_000, 'Silence of a voter before it is replaced or dropped.'),
-  itemLeaseMs: durationMs(6000, 'Time that an entry keeps batch items without a word.'),
-  jobRetentionMs: durationMs(7 * 86_400_000, 'Time that an ended job stays readable.'),
-  callRetentionMs: durationMs(86_400_000, 'Time that the key of a call is remembered.'),
+  replaceAfterMs: durationMs(
+    60_000,
+    'Time without a message from a voter before it is replaced or removed.',
+  ),
+  itemLeaseMs: durationMs(6000, 'Lease of the batch items of an entry, if it is not renewed.'),
+  jobRetentionMs: durationMs(7 * 86_400_000, 'Time for which an ended job stays readable.'),
+  callRetentionMs: durationMs(86_400_000, 'Time for which the key of a call is stored.'),
   orderLeaseMs: durationMs(3000, 'Lease of the instance that gives orders to endpoints.'),
-  orderTimeoutMs: durationMs(2000, 'Longest time that an order stays under way.'),
+  orderTimeoutMs: durationMs(2000, 'Maximum time for which an order is in progress.'),
   weightStoreLoadsAtOnce: z
     .number()
     .int()
     .positive()
     .default(4)
-    .describe('Model loads that the weight store takes at once.'),
+    .describe('Model loads that the weight store serves concurrently.'),
   snapshotAfterBytes: z
     .number()
     .positive()
     .default(8 * 1024 * 1024)
-    .describe('Log bytes of a group after which it is snapshotted.'),
+    .describe('Log bytes of a group after which a snapshot is taken.'),
 });
 
 const entrySchema = z.strictObject({
@@ -73,14 +79,17 @@
   publicUrl: z
     .string()
     .optional()
-    .describe('Address that callers get; default: http://listenHost:listenPort.'),
+    .describe('Address that is given to callers; default: http://listenHost:listenPort.'),
   peerListenPort: port.default(7450).describe('Port for the other entries.'),
   peers: z.array(peerSchema).default([]).describe('All entries of the fleet.'),
   controls: z.array(peerSchema).describe('All control instances of the fleet.'),
-  keepForMs: durationMs(5000, 'Time for which callers keep an answer to `addresses`.'),
-  tableRefreshIntervalMs: durationMs(500, 'Time between looks at the table.'),
-  staleAfterMs: durationMs(10_000, 'Age of the table at which the entry withdraws itself.'),
-  endpointLeaseMs: durationMs(3000, 'Time that an announcement of an endpoint is good for.'),
+  keepForMs: durationMs(5000, 'Time for which callers cache a response of `addresses`.'),
+  tableRefreshIntervalMs: durationMs(500, 'Interval of polling the table.'),
+  staleAfterMs: durationMs(
+    10_000,
+    'Age of the table from which a partitioned entry refuses requests.',
+  ),
+  endpointLeaseMs: durationMs(3000, 'Time for which an announcement of an endpoint is valid.'),
   maxBodyBytes: z
     .number()
     .int()
@@ -104,14 +113,14 @@
     .int()
     .positive()
     .default(12)
-    .describe('Entries that learn the full load of one endpoint.'),
+    .describe('Entries that observe the full load of one endpoint.'),
   batchDial: z
     .number()
     .min(0)
     .max(1)
     .default(0.8)
-    .describe('0: guard online latency most; 1: favour batch throughput most.'),
-  drainTimeoutMs: durationMs(30_000, 'Longest wait for running requests at a planned stop.'),
+    .describe('Trade-off from 0 (lowest online latency) to 1 (highest batch throughput).'),
+  drainTimeoutMs: durationMs(30_000, 'Maximum wait for running requests at a planned stop.'),
 });
 
 /** Settings of one instance. */
@@ -137,7 +146,7 @@
 export type ControlSettings = z.infer<typeof controlSchema>;
 /** Settings of the entry role. */
 export type EntrySettings = z.infer<typeof entrySchema>;
-/** Where a peer instance listens. */
+/** The address of a peer instance. */
 export type PeerSettings = z.infer<typeof peerSchema>;
-/** A bearer token and what it may do. */
+/** A bearer token and its permissions. */
 export type TokenSettings = z.infer<typeof tokenSchema>;
