--- a/packages/consensus/src/consensus.test.ts
+++ b/packages/consensus/src/consensus.test.ts
@@ -2,13 +2,14 @@
 import fc from 'fast-check';
 import { describe, seededRandom, title } from '@shedline/test-utils';
 import { Consensus } from './consensus.js';
-import { FakeGroup, PRODUCT_RULES } from './fake-group.js';
+import { FakeGroup, DEFAULT_RULES } from './fake-group.js';
 import type { GroupRules } from './fake-group.js';
 
-/** Schedules in CI; `SHEDLINE_SCHEDULES` asks for a longer run. */
+/** Number of random schedules; `SHEDLINE_SCHEDULES` overrides it for a longer run. */
 const SCHEDULES = Number(process.env.SHEDLINE_SCHEDULES ?? 1500);
 const SEED = 20261202;
-const BITE_SCHEDULES = 3000;
+/** Maximum number of schedules in the search for a violation with a rule disabled. */
+const MAX_SEARCH_SCHEDULES = 3000;
 
 const STEPS = [
   'propose',
@@ -20,9 +21,9 @@
   'restart',
   'restart',
   'wipe',
-  'cut',
+  'blockLink',
   'isolate',
-  'heal',
+  'unblockLinks',
   'transfer',
   'repair',
   'repair',
@@ -36,34 +37,34 @@
   readonly thenMs: number;
 }
 
-const step: fc.Arbitrary<Step> = fc.record({
+const stepArbitrary: fc.Arbitrary<Step> = fc.record({
   kind: fc.constantFrom(...STEPS),
   a: fc.nat(6),
   b: fc.nat(6),
   thenMs: fc.constantFrom(0, 20, 60, 200, 600),
 });
 
-const schedule = fc.record({
+const scheduleArbitrary = fc.record({
   seed: fc.nat(),
   voters: fc.constantFrom(3, 3, 5),
   spares: fc.constantFrom(0, 1),
-  steps: fc.array(step, { minLength: 10, maxLength: 50 }),
+  steps: fc.array(stepArbitrary, { minLength: 10, maxLength: 50 }),
 });
 
-type Schedule = typeof schedule extends fc.Arbitrary<infer T> ? T : never;
+type Schedule = typeof scheduleArbitrary extends fc.Arbitrary<infer T> ? T : never;
 
 /**
- * Plays a schedule. At most a minority of the members loses its disk: more would lose data by
- * any rule. Answers whether the losses stayed within what a group must live through: only
- * then a leader is due once everything is back.
+ * Runs a schedule. Only a minority of the members may lose its disk, since wiping a majority loses
+ * data with any algorithm. Returns whether the lost, stopped and isolated members never exceeded
+ * what the group tolerates; only then must a leader be elected once all members are back.
  */
-function play(group: FakeGroup, { steps, voters }: Schedule): boolean {
+function runSchedule(group: FakeGroup, { steps, voters }: Schedule): boolean {
   const names = group.names;
   const tolerated = Math.floor((voters - 1) / 2);
   const wiped = new Set<string>();
-  const down = new Set<string>();
-  const cutOff = new Set<string>();
-  let bearable = true;
+  const stopped = new Set<string>();
+  const isolated = new Set<string>();
+  let isWithinTolerance = true;
   group.run(600);
   for (const { kind, a, b, thenMs } of steps) {
     const name = names[a % names.length] ?? '';
@@ -72,47 +73,51 @@
       wiped.add(name);
       group.wipe(name);
     }
-    if (kind === 'crash') down.add(name);
-    if (kind === 'restart') down.delete(name);
-    if (kind === 'isolate' || kind === 'cut') cutOff.add(name);
-    if (kind === 'heal') cutOff.clear();
-    bearable &&= new Set([...wiped, ...down, ...cutOff]).size <= tolerated;
+    if (kind === 'crash') stopped.add(name);
+    if (kind === 'restart') stopped.delete(name);
+    if (kind === 'isolate' || kind === 'blockLink') isolated.add(name);
+    if (kind === 'unblockLinks') isolated.clear();
+    isWithinTolerance &&= new Set([...wiped, ...stopped, ...isolated]).size <= tolerated;
     if (kind === 'propose') group.propose(instanceName(group.leader()?.memberId) ?? name);
     if (kind === 'read') group.read(name);
     if (kind === 'crash') group.crash(name);
     if (kind === 'restart') group.restart(name);
-    if (kind === 'cut') group.cut(name, other);
+    if (kind === 'blockLink') group.blockLink(name, other);
     if (kind === 'isolate') group.isolate(name);
-    if (kind === 'heal') group.heal();
+    if (kind === 'unblockLinks') group.unblockLinks();
     if (kind === 'transfer') group.transfer();
     if (kind === 'repair') group.repair();
     if (kind === 'snapshot') group.snapshot(name);
     group.run(thenMs);
   }
-  return bearable;
+  return isWithinTolerance;
 }
 
 function instanceName(memberId: string | undefined): string | undefined {
   return memberId?.split('#')[0];
 }
 
-/** Plays a schedule and brings everything back; gives the group for its history. */
-function playOut(rules: GroupRules, plan: Schedule): FakeGroup {
+/** Runs a schedule, then restarts and reconnects all members; returns the group. */
+function runAndSettle(rules: GroupRules, plan: Schedule): FakeGroup {
   const { seed, voters, spares } = plan;
   const group = new FakeGroup({ random: seededRandom(seed), voters, spares, rules });
-  const bearable = play(group, plan);
-  if (group.violations.length === 0) group.settle({ leaderDue: bearable });
+  const isWithinTolerance = runSchedule(group, plan);
+  if (group.violations.length === 0) group.settle({ isLeaderExpected: isWithinTolerance });
   return group;
 }
 
-/** Whether some schedule breaks a property under the rules. */
-function breaks(rules: GroupRules): boolean {
-  const property = fc.property(schedule, (plan) => playOut(rules, plan).violations.length === 0);
-  return fc.check(property, { seed: SEED, numRuns: BITE_SCHEDULES, endOnFailure: true }).failed;
+/** Whether the search finds a schedule that violates a property under the given rules. */
+function findsViolation(rules: GroupRules): boolean {
+  const property = fc.property(
+    scheduleArbitrary,
+    (plan) => runAndSettle(rules, plan).violations.length === 0,
+  );
+  return fc.check(property, { seed: SEED, numRuns: MAX_SEARCH_SCHEDULES, endOnFailure: true })
+    .failed;
 }
 
-/** Learners count towards every quorum, whether they have caught up or not. */
-class LearnersVote extends Consensus {
+/** Counts learners towards every quorum, whether they have caught up or not. */
+class VotingLearners extends Consensus {
   protected override quorumMembers(): readonly string[] {
     return this.config.voters.length === 0 ? [] : [...this.config.voters, ...this.config.learners];
   }
@@ -124,26 +129,29 @@
   }
 }
 
-/** Terms that a long-cut-off member has gained, and whether the leader was kept at its return. */
-function cutOffMember(
+/**
+ * Partitions a follower for 10 s. Returns how far the highest term rose meanwhile, and whether the
+ * leader is still the same after the partition.
+ */
+function isolateMember(
   rules: GroupRules,
   seed: number,
-): { gainedTerms: number; keptLeader: boolean } {
-  const group = new FakeGroup({ random: seededRandom(seed), voters: 3, rules, lossShare: 0 });
+): { gainedTerms: number; isLeaderKept: boolean } {
+  const group = new FakeGroup({ random: seededRandom(seed), voters: 3, rules, lossRate: 0 });
   group.run(1500);
   const leader = group.leader()?.memberId;
-  const lonely = group.names.find((name) => name !== instanceName(leader)) ?? '';
+  const isolatedName = group.names.find((name) => name !== instanceName(leader)) ?? '';
   const termBefore = group.highestTerm;
-  group.isolate(lonely);
+  group.isolate(isolatedName);
   group.run(10_000);
   const gainedTerms = group.highestTerm - termBefore;
-  group.heal();
+  group.unblockLinks();
   group.run(2000);
-  return { gainedTerms, keptLeader: group.leader()?.memberId === leader };
+  return { gainedTerms, isLeaderKept: group.leader()?.memberId === leader };
 }
 
-/** Commands acknowledged while one voter is lost and its replacement cannot be reached yet. */
-function acknowledgedWithDeafLearner(rules: GroupRules): number {
+/** Counts commands acknowledged while a voter is down and its replacement is unreachable. */
+function acknowledgedWithUnreachableLearner(rules: GroupRules): number {
   const group = new FakeGroup({ random: seededRandom(7), voters: 3, spares: 1, rules });
   group.run(1500);
   const leader = instanceName(group.leader()?.memberId) ?? '';
@@ -161,12 +169,12 @@
 
 describe('Consensus', () => {
   test(
-    title('loses, doubles and reorders nothing under crashes, cuts, wiped disks and drift'),
+    title('keeps its properties under crashes, partitions, wiped disks and clock drift'),
     (t) => {
       let acknowledged = 0;
       fc.assert(
-        fc.property(schedule, (plan) => {
-          const group = playOut(PRODUCT_RULES, plan);
+        fc.property(scheduleArbitrary, (plan) => {
+          const group = runAndSettle(DEFAULT_RULES, plan);
           acknowledged += group.acknowledged.size;
           if (group.violations.length > 0) throw new Error(group.violations.join('; '));
         }),
@@ -176,16 +184,13 @@
     },
   );
 
-  test(
-    title('a member that was cut off for long neither raises the term nor unseats the leader'),
-    (t) => {
-      for (let seed = 1; seed <= 30; seed += 1) {
-        t.deepEqual(cutOffMember(PRODUCT_RULES, seed), { gainedTerms: 0, keptLeader: true });
-      }
-    },
-  );
+  test(title('a long-isolated member neither raises the term nor displaces the leader'), (t) => {
+    for (let seed = 1; seed <= 30; seed += 1) {
+      t.deepEqual(isolateMember(DEFAULT_RULES, seed), { gainedTerms: 0, isLeaderKept: true });
+    }
+  });
 
-  test(title('a second loss straight after a repair loses nothing'), (t) => {
+  test(title('a second wiped disk right after a repair loses no data'), (t) => {
     for (let seed = 1; seed <= 40; seed += 1) {
       const group = new FakeGroup({ random: seededRandom(seed), voters: 3, spares: 1 });
       group.run(1500);
@@ -202,40 +207,34 @@
       group.wipe(second);
       group.run(6000);
       t.truthy(group.leader(), `seed ${seed}`);
-      group.settle({ leaderDue: true });
+      group.settle({ isLeaderExpected: true });
       t.deepEqual(group.violations, [], `seed ${seed}`);
       t.true(group.acknowledged.size > 5);
     }
   });
 
-  describe('with a rule switched off', () => {
-    test(title('unsynced votes break the properties'), (t) => {
-      const rules = { ...PRODUCT_RULES, syncVotes: false };
-      t.true(breaks(rules));
+  describe('with a rule disabled', () => {
+    test(title('unsynced votes violate a property'), (t) => {
+      const rules = { ...DEFAULT_RULES, syncVotes: false };
+      t.true(findsViolation(rules));
+    });
+
+    test(title('a wiped member that keeps its incarnation violates a property'), (t) => {
+      const rules = { ...DEFAULT_RULES, newIncarnationAfterWipe: false };
+      t.true(findsViolation(rules));
+    });
+
+    test(title('an unreachable learner that counts towards the quorum stops the group'), (t) => {
+      const createCore = (options: ConstructorParameters<typeof Consensus>[0]): Consensus =>
+        new VotingLearners(options);
+      t.true(acknowledgedWithUnreachableLearner(DEFAULT_RULES) > 0);
+      t.is(acknowledgedWithUnreachableLearner({ ...DEFAULT_RULES, createCore }), 0);
     });
 
-    test(
-      title('a wiped member that votes on memory it no longer has breaks the properties'),
-      (t) => {
-        const rules = { ...PRODUCT_RULES, newIncarnationAfterWipe: false };
-        t.true(breaks(rules));
-      },
-    );
-
-    test(
-      title('a learner that counts towards a quorum stops the group before it has caught up'),
-      (t) => {
-        const createCore = (options: ConstructorParameters<typeof Consensus>[0]): Consensus =>
-          new LearnersVote(options);
-        t.true(acknowledgedWithDeafLearner(PRODUCT_RULES) > 0);
-        t.is(acknowledgedWithDeafLearner({ ...PRODUCT_RULES, createCore }), 0);
-      },
-    );
-
-    test(title('without pre-vote a member that was cut off raises the term'), (t) => {
+    test(title('without pre-vote an isolated member raises the term'), (t) => {
       const createCore = (options: ConstructorParameters<typeof Consensus>[0]): Consensus =>
         new NoPreVote(options);
-      const result = cutOffMember({ ...PRODUCT_RULES, createCore }, 1);
+      const result = isolateMember({ ...DEFAULT_RULES, createCore }, 1);
       t.true(result.gainedTerms > 10);
     });
   });
--- a/packages/consensus/src/consensus.ts
+++ b/packages/consensus/src/consensus.ts
@@ -1,10 +1,10 @@
 /**
- * One member of one replicated log group, as a pure decision class.
+ * Member of a replicated log group, as a state machine without input or output of its own.
  *
  * The algorithm is Raft (Ongaro, "Consensus: Bridging Theory and Practice", 2014) with
  * pre-vote, check-quorum, read-index reads, learners, one-at-a-time membership changes and
- * leadership transfer. It reads no clock, socket or file: events come in with `nowMs`, and
- * {@link Consensus.takeReady} hands out what its driver has to sync, send and apply.
+ * leadership transfer. It reads no clock, socket or file: each event carries `nowMs`, and
+ * {@link Consensus.takeReady} returns what the driver has to sync, send and apply.
  */
 import { match } from 'ts-pattern';
 import { Followers } from './followers.js';
@@ -30,37 +30,42 @@
   VoteReply,
 } from './messages.js';
 
-const NOTHING = new Uint8Array(0);
+const EMPTY_DATA = new Uint8Array(0);
 
 /** Options of {@link Consensus}. */
 export interface ConsensusOptions {
-  /** Identity of this member, `instance#incarnation`. */
+  /** Id of this member, `instance#incarnation`. */
   readonly memberId: string;
-  /** Random numbers in [0, 1) that spread the elections. */
+  /** Random numbers in [0, 1) for the jitter of the election timeout. */
   readonly random: () => number;
   readonly nowMs: number;
+  /** Position of the stored snapshot; index 0 with the initial configuration if there is none. */
   readonly snapshot: SnapshotPosition;
   readonly hardState?: HardState;
+  /** Stored log entries after the snapshot. */
   readonly entries?: readonly LogEntry[];
-  /** Shortest time without a leader before an election. */
+  /**
+   * Minimum time without contact to a leader before an election. Random jitter of up to the same
+   * time is added.
+   */
   readonly electionTimeoutMs?: number;
   /**
-   * Shortest time from the start to the first election; default: the election timeout. It doubles
-   * with each try up to that. A group that restarts as a whole comes back sooner, and a group that
-   * has a leader refuses the pre-vote of a member that starts early.
+   * Minimum time from the start to the first election, doubled with each attempt up to the election
+   * timeout; defaults to the election timeout. With a short time, a group that restarts as a whole
+   * elects a leader sooner. A group that has a leader rejects the pre-vote of a member that starts.
    */
   readonly firstElectionTimeoutMs?: number;
   readonly heartbeatIntervalMs?: number;
-  /** Bytes of entries in one message. */
+  /** Maximum size of the entries in one append message. */
   readonly maxMessageBytes?: number;
 }
 
-/** Where a proposal stands, or why there is none. */
+/** Log position of an accepted proposal, or the leader that the caller should use instead. */
 export type ProposeOutcome =
   | { readonly accepted: true; readonly index: number; readonly term: number }
   | { readonly accepted: false; readonly leaderId: string };
 
-/** One member of a group. */
+/** Member of a consensus group. */
 export class Consensus {
   readonly memberId: string;
   private readonly random: () => number;
@@ -74,22 +79,25 @@
   private savedHardState: HardState;
   private currentRole: Role = 'follower';
   private currentLeader = '';
-  /** Grows to the election timeout with each try until a leader was heard of. */
+  /** Doubles up to the election timeout with each attempt until a leader is known. */
   private startTimeoutMs: number;
-  private commit: number;
-  private handedOut: number;
-  private stable: number;
+  private committedIndex: number;
+  /** Last index that was handed to the driver to be applied. */
+  private handedOutIndex: number;
+  /** Last index that is synced to disk. */
+  private stableIndex: number;
+  /** First index that was not yet handed to the driver to be synced. */
   private unstableFrom: number;
 
   private nowMs: number;
   private electionDeadlineMs = 0;
   private lastLeaderContactMs = -Infinity;
   private nextHeartbeatMs = 0;
-  private quorumCheckMs = 0;
+  private nextQuorumCheckMs = 0;
   private votes = new Map<string, boolean>();
   private readonly followers: Followers;
   private round = 0;
-  private heartbeatWanted = false;
+  private isHeartbeatDue = false;
   private readonly pendingReads = new PendingReads();
   private transferTarget = '';
   private transferDeadlineMs = 0;
@@ -116,82 +124,85 @@
     this.term = Math.max(options.hardState?.term ?? 0, this.log.lastTerm);
     this.votedFor = options.hardState?.term === this.term ? options.hardState.votedFor : '';
     this.savedHardState = { term: this.term, votedFor: this.votedFor };
-    this.commit = options.snapshot.index;
-    this.handedOut = options.snapshot.index;
-    this.stable = this.log.lastIndex;
+    this.committedIndex = options.snapshot.index;
+    this.handedOutIndex = options.snapshot.index;
+    this.stableIndex = this.log.lastIndex;
     this.unstableFrom = this.log.lastIndex + 1;
     this.startTimeoutMs = options.firstElectionTimeoutMs ?? this.electionTimeoutMs;
     this.resetElectionDeadline();
-    this.becomeLeaderIfAlone();
+    this.campaignIfOnlyVoter();
   }
 
-  /** Role of this member. */
+  /** Raft role of this member. */
   get role(): Role {
     return this.currentRole;
   }
 
-  /** The leader as far as this member knows; empty where unknown. */
+  /** Member id of the leader known to this member; empty if unknown. */
   get leaderId(): string {
     return this.currentLeader;
   }
 
-  /** Current term. */
   get currentTerm(): number {
     return this.term;
   }
 
-  /** Highest committed index known here. */
+  /** Highest index that this member knows to be committed. */
   get commitIndex(): number {
-    return this.commit;
+    return this.committedIndex;
   }
 
-  /** Last index of the log held here. */
+  /** Last index of this member's log. */
   get lastIndex(): number {
     return this.log.lastIndex;
   }
 
-  /** The members in force. */
+  /** Configuration in effect: the latest in the log, committed or not. */
   get config(): GroupConfig {
     return this.log.config.config;
   }
 
   /** Whether a membership change is still uncommitted. */
   get configChangePending(): boolean {
-    return this.log.config.index > this.commit;
+    return this.log.config.index > this.committedIndex;
   }
 
-  /** The configuration as of an index, for a snapshot there. */
+  /** Returns the configuration in effect at an index, for a snapshot at that index. */
   configAt(index: number): GroupConfig {
     return this.log.configAt(index);
   }
 
-  /** Term of an index, if it is still held. */
+  /** Returns the term of an index, or undefined if the index is not in memory. */
   termAt(index: number): number | undefined {
     return this.log.termAt(index);
   }
 
-  /** Matching index and silence of each member; only meaningful on a leader. */
+  /**
+   * Returns the matching index of each other member and the time since its last message. Empty
+   * unless this member is or was the leader.
+   */
   memberProgress(): ReadonlyMap<string, { matchIndex: number; silentMs: number }> {
     const result = new Map<string, { matchIndex: number; silentMs: number }>();
     for (const [memberId, progress] of this.followers.all) {
       result.set(memberId, {
         matchIndex: progress.matchIndex,
-        silentMs: this.nowMs - progress.lastHeardMs,
+        silentMs: this.nowMs - progress.lastContactMs,
       });
     }
     return result;
   }
 
   /**
-   * Time since this member was last in contact with a quorum: a leader by its followers, others by their
-   * leader. What is committed here is no older than that, but for what is still being copied.
+   * Returns the time since the last contact with a quorum: for a leader the last messages of its
+   * followers, for other members the last message of the leader. The committed state of this
+   * member is at most that old, except for entries that are still being replicated.
    */
   contactAgeMs(nowMs: number): number {
     if (this.currentRole !== 'leader') return nowMs - this.lastLeaderContactMs;
-    return nowMs - this.quorumValue((progress) => progress.lastHeardMs, nowMs);
+    return nowMs - this.quorumValue((progress) => progress.lastContactMs, nowMs);
   }
 
-  /** Lets time pass. */
+  /** Advances the time; starts elections and schedules heartbeats. */
   tick(nowMs: number): void {
     this.nowMs = nowMs;
     if (this.currentRole === 'leader') {
@@ -201,13 +212,13 @@
     if (nowMs >= this.electionDeadlineMs && this.isVoter(this.memberId)) this.startPreVote();
   }
 
-  /** Takes a message from another member. */
+  /** Handles a message from another member; a message for another member id is ignored. */
   receive(message: ConsensusMessage, nowMs: number): void {
     this.nowMs = nowMs;
     if (message.to !== this.memberId) return;
-    if (message.term > this.term) this.meetHigherTerm(message);
+    if (message.term > this.term) this.handleHigherTerm(message);
     if (message.term < this.term) {
-      this.answerLowerTerm(message);
+      this.replyToLowerTerm(message);
       return;
     }
     match(message)
@@ -241,77 +252,89 @@
       .exhaustive();
   }
 
-  /** Appends a command if this member leads. */
+  /** Appends a command if this member is the leader and no leadership transfer is running. */
   propose(data: Uint8Array): ProposeOutcome {
     if (this.currentRole !== 'leader' || this.transferTarget !== '') {
       return { accepted: false, leaderId: this.currentRole === 'leader' ? '' : this.currentLeader };
     }
-    const entry = this.appendOwn('command', data);
+    const entry = this.appendAsLeader('command', data);
     return { accepted: true, index: entry.index, term: entry.term };
   }
 
-  /** Appends a membership change of one member; false where it may not go now. */
+  /**
+   * Appends a configuration that changes at most one voter. Returns false if this member is not the
+   * leader, a change is still uncommitted, or no entry of the current term is committed yet.
+   */
   proposeConfig(config: GroupConfig): boolean {
     if (this.currentRole !== 'leader' || this.configChangePending) return false;
     if (!this.hasCommittedInTerm()) return false;
     if (changedVoters(this.config, config) > 1) return false;
-    this.appendOwn('config', NOTHING, config);
-    this.adoptMembers();
+    this.appendAsLeader('config', EMPTY_DATA, config);
+    this.trackMembers();
     return true;
   }
 
-  /** Asks for a linearizable read; it comes back in {@link Ready.reads}. False: not leader. */
+  /** Starts a linearizable read, reported in {@link Ready.reads}. Returns false if not leader. */
   requestRead(readId: number): boolean {
     if (this.currentRole !== 'leader') return false;
     this.pendingReads.add(readId);
-    this.heartbeatWanted = true;
+    this.isHeartbeatDue = true;
     return true;
   }
 
-  /** Hands the leadership to a caught-up voter, for a planned stop. */
+  /**
+   * Starts a leadership transfer to the responsive voter with the most entries. Returns false if
+   * this member is not the leader, a transfer is running, or no such voter exists.
+   */
   transferLeadership(nowMs: number): boolean {
     this.nowMs = nowMs;
     if (this.currentRole !== 'leader' || this.transferTarget !== '') return false;
-    const target = this.bestSuccessor();
+    const target = this.bestTransferTarget();
     return target !== undefined && this.transferLeadershipTo(target, nowMs);
   }
 
-  /** Hands the leadership to a certain voter; false where it is not fit for it now. */
+  /**
+   * Starts a leadership transfer to the given voter. Returns false if this member is not the
+   * leader, a transfer is running, or the target is not a responsive voter.
+   */
   transferLeadershipTo(target: string, nowMs: number): boolean {
     this.nowMs = nowMs;
     if (this.currentRole !== 'leader' || this.transferTarget !== '') return false;
-    if (!this.successors().includes(target)) return false;
+    if (!this.transferCandidates().includes(target)) return false;
     this.transferTarget = target;
     this.transferDeadlineMs = nowMs + this.electionTimeoutMs;
     this.finishTransfer();
     return true;
   }
 
-  /** Notes that a snapshot transfer ended; replication goes on from what matches. */
+  /** Resumes replication to a member after a snapshot transfer has ended, successful or not. */
   snapshotSent(memberId: string): void {
-    this.followers.get(memberId)?.probeAgain();
+    this.followers.get(memberId)?.restartProbing();
   }
 
-  /** Installs a snapshot that the driver has already synced. False: older than what is here. */
+  /**
+   * Installs a snapshot that the driver has already synced. Returns false if the snapshot is not
+   * newer than the committed entries of this member.
+   */
   installSnapshot(position: SnapshotPosition, leaderId: string): boolean {
-    if (position.index <= this.commit) return false;
+    if (position.index <= this.committedIndex) return false;
     this.log.reset(position.index, position.term, position.config);
-    this.commit = position.index;
-    this.handedOut = position.index;
-    this.stable = position.index;
+    this.committedIndex = position.index;
+    this.handedOutIndex = position.index;
+    this.stableIndex = position.index;
     this.unstableFrom = position.index + 1;
     this.sendAppendReply(leaderId, true, position.index);
     return true;
   }
 
-  /** Forgets entries up to `index`, which a snapshot covers. */
+  /** Discards the applied entries up to `index`, which a snapshot covers. */
   compactTo(index: number): void {
-    this.log.compactTo(Math.min(index, this.handedOut));
+    this.log.compactTo(Math.min(index, this.handedOutIndex));
   }
 
-  /** Hands out the work that has gathered since the last call. */
+  /** Returns and clears the work that has accumulated since the last call. */
   takeReady(): Ready {
-    if (this.heartbeatWanted) this.broadcastHeartbeat();
+    if (this.isHeartbeatDue) this.broadcastHeartbeat();
     const hardState = this.changedHardState();
     const entries = this.log.slice(this.unstableFrom, this.log.lastIndex);
     const committed = this.takeCommitted();
@@ -332,17 +355,17 @@
     return ready;
   }
 
-  /** Notes that the entries of a ready batch are synced. */
+  /** Records that the entries of a {@link Ready} are synced. */
   persisted(ready: Ready): void {
     const last = ready.entries.at(-1);
     if (last === undefined) return;
     // A newer leader may have replaced the entry while it was being synced.
     if (this.log.termAt(last.index) !== last.term) return;
-    this.stable = Math.max(this.stable, last.index);
+    this.stableIndex = Math.max(this.stableIndex, last.index);
     if (this.currentRole === 'leader') this.advanceCommit();
   }
 
-  /** Members whose word counts towards a quorum. */
+  /** Members whose votes and replies count towards a quorum. */
   protected quorumMembers(): readonly string[] {
     return this.config.voters;
   }
@@ -368,21 +391,21 @@
   }
 
   private takeCommitted(): LogEntry[] {
-    const until = Math.min(this.commit, this.stable);
-    const committed = this.log.slice(this.handedOut + 1, until);
-    this.handedOut = Math.max(this.handedOut, until);
+    const until = Math.min(this.committedIndex, this.stableIndex);
+    const committed = this.log.slice(this.handedOutIndex + 1, until);
+    this.handedOutIndex = Math.max(this.handedOutIndex, until);
     return committed;
   }
 
   private resetElectionDeadline(): void {
     const timeoutMs = Math.min(this.startTimeoutMs, this.electionTimeoutMs);
-    const spreadMs = this.random() * timeoutMs;
-    this.electionDeadlineMs = this.nowMs + timeoutMs + spreadMs;
-    // Members that are still starting answer late; doubling gives them the time.
+    const jitterMs = this.random() * timeoutMs;
+    this.electionDeadlineMs = this.nowMs + timeoutMs + jitterMs;
+    // Members that are still starting reply slowly; the doubled timeout allows for that.
     this.startTimeoutMs = timeoutMs * 2;
   }
 
-  private becomeLeaderIfAlone(): void {
+  private campaignIfOnlyVoter(): void {
     if (this.quorumMembers().length === 1 && this.isVoter(this.memberId)) this.campaign(false);
   }
 
@@ -402,21 +425,21 @@
   private tickLeader(): void {
     if (this.transferTarget !== '' && this.nowMs >= this.transferDeadlineMs)
       this.transferTarget = '';
-    if (this.nowMs >= this.quorumCheckMs) {
-      this.quorumCheckMs = this.nowMs + this.electionTimeoutMs;
-      if (!this.hearsQuorum()) {
+    if (this.nowMs >= this.nextQuorumCheckMs) {
+      this.nextQuorumCheckMs = this.nowMs + this.electionTimeoutMs;
+      if (!this.hasQuorumContact()) {
         this.becomeFollower(this.term, '');
         return;
       }
     }
-    if (this.nowMs >= this.nextHeartbeatMs) this.heartbeatWanted = true;
+    if (this.nowMs >= this.nextHeartbeatMs) this.isHeartbeatDue = true;
   }
 
-  private hearsQuorum(): boolean {
-    const heard = this.quorumMembers().filter((memberId) =>
-      this.followers.isHeard(memberId, this.electionTimeoutMs, this.nowMs),
+  private hasQuorumContact(): boolean {
+    const responsive = this.quorumMembers().filter((memberId) =>
+      this.followers.hasRecentContact(memberId, this.electionTimeoutMs, this.nowMs),
     );
-    return heard.length >= this.quorumSize();
+    return responsive.length >= this.quorumSize();
   }
 
   private startPreVote(): void {
@@ -478,18 +501,18 @@
     this.followers.clear();
     this.transferTarget = '';
     this.pendingReads.clear();
-    this.quorumCheckMs = this.nowMs + this.electionTimeoutMs;
-    this.adoptMembers();
-    this.appendOwn('noop', NOTHING);
-    this.heartbeatWanted = true;
+    this.nextQuorumCheckMs = this.nowMs + this.electionTimeoutMs;
+    this.trackMembers();
+    this.appendAsLeader('noop', EMPTY_DATA);
+    this.isHeartbeatDue = true;
   }
 
-  private adoptMembers(): void {
+  private trackMembers(): void {
     const members = [...this.config.voters, ...this.config.learners];
-    this.followers.adopt(members, this.log.lastIndex + 1, this.nowMs);
+    this.followers.setMembers(members, this.log.lastIndex + 1, this.nowMs);
   }
 
-  private appendOwn(kind: LogEntry['kind'], data: Uint8Array, config?: GroupConfig): LogEntry {
+  private appendAsLeader(kind: LogEntry['kind'], data: Uint8Array, config?: GroupConfig): LogEntry {
     const position = { index: this.log.lastIndex + 1, term: this.term };
     const entry: LogEntry = { ...position, kind, data, ...(config ? { config } : {}) };
     this.log.append(entry);
@@ -518,25 +541,25 @@
         previousIndex,
         previousTerm,
         entries,
-        commitIndex: this.commit,
+        commitIndex: this.committedIndex,
       });
-      progress.sent(previousIndex + entries.length);
+      progress.recordSent(previousIndex + entries.length);
     }
   }
 
   private broadcastHeartbeat(): void {
-    this.heartbeatWanted = false;
+    this.isHeartbeatDue = false;
     if (this.currentRole !== 'leader') return;
     this.round += 1;
     this.nextHeartbeatMs = this.nowMs + this.heartbeatIntervalMs;
-    if (this.hasCommittedInTerm()) this.pendingReads.stamp(this.commit, this.round);
+    if (this.hasCommittedInTerm()) this.pendingReads.assignRound(this.committedIndex, this.round);
     for (const [to, progress] of this.followers.all) {
       this.earlyMessages.push({
         type: 'heartbeat',
         from: this.memberId,
         to,
         term: this.term,
-        commitIndex: Math.min(this.commit, progress.matchIndex),
+        commitIndex: Math.min(this.committedIndex, progress.matchIndex),
         round: this.round,
       });
     }
@@ -553,40 +576,40 @@
   }
 
   private hasCommittedInTerm(): boolean {
-    return this.log.termAt(this.commit) === this.term;
+    return this.log.termAt(this.committedIndex) === this.term;
   }
 
   private advanceCommit(): void {
-    const index = this.quorumValue((progress) => progress.matchIndex, this.stable);
-    if (index <= this.commit || this.log.termAt(index) !== this.term) return;
-    this.commit = index;
-    // Reads asked for before the first commit of the term wait for this.
-    if (this.pendingReads.hasUnstamped) this.heartbeatWanted = true;
+    const index = this.quorumValue((progress) => progress.matchIndex, this.stableIndex);
+    if (index <= this.committedIndex || this.log.termAt(index) !== this.term) return;
+    this.committedIndex = index;
+    // Reads that arrived before the first commit of the term get a heartbeat round now.
+    if (this.pendingReads.hasUnassigned) this.isHeartbeatDue = true;
     this.stepDownIfRemoved();
   }
 
   private stepDownIfRemoved(): void {
     const { config, index } = this.log.config;
-    const member = config.voters.includes(this.memberId);
-    if (!member && index <= this.commit) this.becomeFollower(this.term, '');
+    const isStillVoter = config.voters.includes(this.memberId);
+    if (!isStillVoter && index <= this.committedIndex) this.becomeFollower(this.term, '');
   }
 
-  private meetHigherTerm(message: ConsensusMessage): void {
+  private handleHigherTerm(message: ConsensusMessage): void {
     if (message.type === 'preVote') return;
     if (message.type === 'preVoteReply' && message.granted) return;
-    if (message.type === 'vote' && !message.transfer && this.leaderIsFresh()) return;
+    if (message.type === 'vote' && !message.transfer && this.hasRecentLeaderContact()) return;
     const fromLeader = message.type === 'append' || message.type === 'heartbeat';
     this.becomeFollower(message.term, fromLeader ? message.from : '');
   }
 
-  private leaderIsFresh(): boolean {
+  private hasRecentLeaderContact(): boolean {
     if (this.currentRole === 'leader') return true;
     if (this.currentLeader === '') return false;
     return this.nowMs - this.lastLeaderContactMs < this.electionTimeoutMs;
   }
 
-  /** Tells a sender that is behind about the current term. */
-  private answerLowerTerm(message: ConsensusMessage): void {
+  /** Reports the current term to a sender with a lower term. */
+  private replyToLowerTerm(message: ConsensusMessage): void {
     if (message.type === 'append' || message.type === 'heartbeat') {
       this.sendAppendReply(message.from, false, this.log.lastIndex);
     }
@@ -594,7 +617,7 @@
   }
 
   private onPreVote(message: PreVoteMessage): void {
-    const granted = this.isUpToDate(message) && !this.leaderIsFresh();
+    const granted = this.isUpToDate(message) && !this.hasRecentLeaderContact();
     this.sendPreVoteReply(message.from, granted ? message.term : this.term, granted);
   }
 
@@ -615,9 +638,9 @@
 
   private onVote(message: VoteMessage): void {
     if (message.term !== this.term) return;
-    if (!message.transfer && this.leaderIsFresh()) return;
-    const free = this.votedFor === '' || this.votedFor === message.from;
-    const granted = free && this.isUpToDate(message);
+    if (!message.transfer && this.hasRecentLeaderContact()) return;
+    const mayVote = this.votedFor === '' || this.votedFor === message.from;
+    const granted = mayVote && this.isUpToDate(message);
     if (granted) {
       this.votedFor = message.from;
       this.resetElectionDeadline();
@@ -637,7 +660,7 @@
     if (this.countVotes() >= this.quorumSize()) this.becomeLeader();
   }
 
-  private hearLeader(leaderId: string): void {
+  private recordLeaderContact(leaderId: string): void {
     if (this.currentRole !== 'follower' || this.currentLeader !== leaderId) {
       this.becomeFollower(this.term, leaderId);
     }
@@ -646,19 +669,19 @@
   }
 
   private onAppend(message: AppendMessage): void {
-    this.hearLeader(message.from);
-    if (message.previousIndex < this.commit) {
-      this.sendAppendReply(message.from, true, this.commit);
+    this.recordLeaderContact(message.from);
+    if (message.previousIndex < this.committedIndex) {
+      this.sendAppendReply(message.from, true, this.committedIndex);
       return;
     }
     if (this.log.termAt(message.previousIndex) !== message.previousTerm) {
       const hint = Math.min(message.previousIndex - 1, this.log.lastIndex);
-      this.sendAppendReply(message.from, false, Math.max(hint, this.commit));
+      this.sendAppendReply(message.from, false, Math.max(hint, this.committedIndex));
       return;
     }
     for (const entry of message.entries) this.storeEntry(entry);
     const lastNew = message.previousIndex + message.entries.length;
-    this.commit = Math.max(this.commit, Math.min(message.commitIndex, lastNew));
+    this.committedIndex = Math.max(this.committedIndex, Math.min(message.commitIndex, lastNew));
     this.sendAppendReply(message.from, true, lastNew);
   }
 
@@ -667,7 +690,7 @@
     if (term === entry.term) return;
     if (term !== undefined) {
       this.log.truncateFrom(entry.index);
-      this.stable = Math.min(this.stable, entry.index - 1);
+      this.stableIndex = Math.min(this.stableIndex, entry.index - 1);
       this.unstableFrom = Math.min(this.unstableFrom, entry.index);
     }
     this.log.append(entry);
@@ -685,28 +708,31 @@
   }
 
   private onAppendReply(message: AppendReply): void {
-    const progress = this.heardFrom(message.from);
+    const progress = this.recordContact(message.from);
     if (progress === undefined) return;
     if (!message.success) {
-      progress.refused(message.matchIndex);
+      progress.recordRejection(message.matchIndex);
       this.replicateTo(message.from);
       return;
     }
-    if (progress.acknowledged(message.matchIndex)) this.advanceCommit();
+    if (progress.recordSuccess(message.matchIndex)) this.advanceCommit();
     this.replicateTo(message.from);
     this.finishTransfer();
   }
 
-  private heardFrom(memberId: string): Progress | undefined {
+  private recordContact(memberId: string): Progress | undefined {
     if (this.currentRole !== 'leader') return undefined;
     const progress = this.followers.get(memberId);
-    if (progress !== undefined) progress.lastHeardMs = this.nowMs;
+    if (progress !== undefined) progress.lastContactMs = this.nowMs;
     return progress;
   }
 
   private onHeartbeat(message: HeartbeatMessage): void {
-    this.hearLeader(message.from);
-    this.commit = Math.max(this.commit, Math.min(message.commitIndex, this.log.lastIndex));
+    this.recordLeaderContact(message.from);
+    this.committedIndex = Math.max(
+      this.committedIndex,
+      Math.min(message.commitIndex, this.log.lastIndex),
+    );
     this.messages.push({
       type: 'heartbeatReply',
       from: this.memberId,
@@ -717,7 +743,7 @@
   }
 
   private onHeartbeatReply(message: HeartbeatReply): void {
-    const progress = this.heardFrom(message.from);
+    const progress = this.recordContact(message.from);
     if (progress === undefined) return;
     progress.ackedRound = Math.max(progress.ackedRound, message.round);
     progress.allowProbe();
@@ -725,23 +751,23 @@
     this.releaseReads();
   }
 
-  /** Entries whose message or answer was lost go again once a heartbeat round has passed. */
+  /** Resends entries whose message or reply was lost, when replication has stalled. */
   private resendLost(memberId: string, progress: Progress): void {
-    const stalled = progress.stalledSince(progress.matchIndex, this.round);
-    if (progress.state === 'replicate' && stalled) progress.probeAgain();
+    const stalled = progress.isStalled(progress.matchIndex, this.round);
+    if (progress.state === 'replicate' && stalled) progress.restartProbing();
     this.replicateTo(memberId);
   }
 
-  /** Voters that were heard lately. */
-  private successors(): string[] {
+  /** Returns the other voters that sent a message within the election timeout. */
+  private transferCandidates(): string[] {
     return this.otherVoters().filter((memberId) =>
-      this.followers.isHeard(memberId, this.electionTimeoutMs, this.nowMs),
+      this.followers.hasRecentContact(memberId, this.electionTimeoutMs, this.nowMs),
     );
   }
 
-  private bestSuccessor(): string | undefined {
+  private bestTransferTarget(): string | undefined {
     const matchOf = (memberId: string): number => this.followers.get(memberId)?.matchIndex ?? 0;
-    return this.successors().sort((a, b) => matchOf(b) - matchOf(a))[0];
+    return this.transferCandidates().sort((a, b) => matchOf(b) - matchOf(a))[0];
   }
 
   private finishTransfer(): void {
--- a/packages/consensus/src/contact-age.test.ts
+++ b/packages/consensus/src/contact-age.test.ts
@@ -14,8 +14,8 @@
   });
 }
 
-describe('contact with a quorum', () => {
-  test(title('of a follower is as old as the last word of its leader'), (t) => {
+describe('contactAgeMs', () => {
+  test(title('of a follower is the time since the last message of its leader'), (t) => {
     const follower = member(VOTERS);
     t.is(follower.contactAgeMs(100), Infinity);
     const heartbeat = { type: 'heartbeat', from: 'b#1', to: 'a#1', term: 1 } as const;
@@ -24,14 +24,14 @@
     t.is(follower.contactAgeMs(5000), 4800);
   });
 
-  test(title('of a leader is as old as the last word of the quorum behind it'), (t) => {
+  test(title('of a leader is the time since a quorum was last in contact'), (t) => {
     const leader = member(VOTERS);
     leader.tick(600);
     leader.receive({ type: 'preVoteReply', from: 'b#1', to: 'a#1', term: 0, granted: true }, 610);
     leader.receive({ type: 'voteReply', from: 'b#1', to: 'a#1', term: 1, granted: true }, 620);
     t.is(leader.role, 'leader');
     leader.receive({ type: 'heartbeatReply', from: 'b#1', to: 'a#1', term: 1, round: 1 }, 700);
-    t.is(leader.contactAgeMs(900), 200, 'one of the two others is enough');
+    t.is(leader.contactAgeMs(900), 200, 'one of the two followers completes the quorum');
     const alone = member(['a#1']);
     t.is(alone.contactAgeMs(5000), 0);
   });
--- a/packages/consensus/src/fake-group.ts
+++ b/packages/consensus/src/fake-group.ts
@@ -1,6 +1,6 @@
 /**
- * A group of consensus members over a fake network and fake disks, for the property tests.
- * A crash keeps only what was synced; a wiped member comes back under a new incarnation.
+ * Simulated consensus group with a fake network and fake disks, for the property tests. A crash
+ * keeps only what was synced; a member whose disk was wiped restarts with a new incarnation.
  */
 import type { RandomSource } from '@shedline/test-utils';
 import { Consensus } from './consensus.js';
@@ -34,11 +34,13 @@
   core: Consensus;
   disk: Disk;
   isUp: boolean;
-  /** Rate of the member's clock against true time. */
+  /** Rate of the member's clock relative to simulated time. */
   clockRate: number;
-  syncing: { ready: Ready; doneAtMs: number } | undefined;
+  syncing: { ready: Ready; finishedAtMs: number } | undefined;
   applied: number;
-  readonly reads: Map<number, { mustSee: number }>;
+  /** Pending reads by read id, with the lowest index that the read may return. */
+  readonly reads: Map<number, { minIndex: number }>;
+  /** Terms of the proposals of this member, by log index. */
   readonly proposals: Map<number, number>;
 }
 
@@ -47,17 +49,17 @@
   readonly deliver: () => void;
 }
 
-/** Rules that a test may switch off to show that the properties notice. */
+/** Safety rules; a test disables one to show that the checks detect its absence. */
 export interface GroupRules {
-  /** A vote is on the disk before it is sent. */
+  /** The term and vote are stored on disk before the vote is sent. */
   readonly syncVotes: boolean;
-  /** A wiped member comes back under a new incarnation. */
+  /** A member whose disk was wiped restarts with a new incarnation. */
   readonly newIncarnationAfterWipe: boolean;
   readonly createCore: (options: ConsensusOptions) => Consensus;
 }
 
-/** The rules as the product has them. */
-export const PRODUCT_RULES: GroupRules = {
+/** All rules enabled, with the production {@link Consensus}. */
+export const DEFAULT_RULES: GroupRules = {
   syncVotes: true,
   newIncarnationAfterWipe: true,
   createCore: (options) => new Consensus(options),
@@ -69,33 +71,38 @@
   readonly voters: number;
   readonly spares?: number;
   readonly rules?: GroupRules;
-  readonly lossShare?: number;
+  /** Probability that a message is lost, and also that it is duplicated. */
+  readonly lossRate?: number;
 }
 
-/** Members with their network, disks and the checks on their history. */
+/** Simulated members, their network and disks, and the checks on the history of the group. */
 export class FakeGroup {
-  /** What went wrong; empty while every property holds. */
+  /** Descriptions of violated properties; empty as long as all hold. */
   readonly violations: string[] = [];
+  /** Terms of the acknowledged commands, by log index. */
   readonly acknowledged = new Map<number, number>();
-  readsAnswered = 0;
+  finishedReads = 0;
   private readonly random: RandomSource;
   private readonly rules: GroupRules;
-  private readonly lossShare: number;
+  private readonly lossRate: number;
   private readonly targetVoters: number;
   private readonly members = new Map<string, Member>();
-  private readonly cuts = new Set<string>();
+  /** Blocked directions, as `from>to`. */
+  private readonly blockedLinks = new Set<string>();
+  /** Leader of each term. */
   private readonly leaders = new Map<number, string>();
+  /** First entry that any member applied, by log index. */
   private readonly committed = new Map<number, LogEntry>();
   private inFlight: InFlight[] = [];
   private nowMs = 0;
   private nextReadId = 1;
   private nextCommand = 1;
-  private incarnations = 1;
+  private lastIncarnation = 1;
 
   constructor(options: FakeGroupOptions) {
     this.random = options.random;
-    this.rules = options.rules ?? PRODUCT_RULES;
-    this.lossShare = options.lossShare ?? 0.05;
+    this.rules = options.rules ?? DEFAULT_RULES;
+    this.lossRate = options.lossRate ?? 0.05;
     this.targetVoters = options.voters;
     const names = 'abcdefg'.slice(0, options.voters + (options.spares ?? 0)).split('');
     const voters = names.slice(0, options.voters).map((name) => `${name}#1`);
@@ -107,18 +114,18 @@
     return [...this.members.keys()];
   }
 
-  /** Highest term of any member that is up. */
+  /** Highest term of the members that are up. */
   get highestTerm(): number {
     return Math.max(...this.up().map((member) => member.core.currentTerm));
   }
 
-  /** The member that leads in the highest term. */
+  /** Returns the leader with the highest term, if any member is leader. */
   leader(): Member | undefined {
     const leading = this.up().filter((member) => member.core.role === 'leader');
     return leading.sort((a, b) => b.core.currentTerm - a.core.currentTerm)[0];
   }
 
-  /** Lets true time pass. */
+  /** Advances the simulated time; stops at the first violation. */
   run(durationMs: number): void {
     const untilMs = this.nowMs + durationMs;
     while (this.nowMs < untilMs && this.violations.length === 0) {
@@ -133,7 +140,7 @@
     }
   }
 
-  /** Proposes a command at an instance. */
+  /** Proposes a command to the member on an instance. */
   propose(name: string): void {
     const member = this.members.get(name);
     if (member?.isUp !== true) return;
@@ -144,18 +151,18 @@
     this.drive(member);
   }
 
-  /** Asks for a linearizable read at an instance. */
+  /** Starts a linearizable read at the member on an instance. */
   read(name: string): void {
     const member = this.members.get(name);
     if (member?.isUp !== true) return;
     const readId = this.nextReadId;
     this.nextReadId += 1;
-    const mustSee = Math.max(0, ...this.acknowledged.keys());
-    if (member.core.requestRead(readId)) member.reads.set(readId, { mustSee });
+    const minIndex = Math.max(0, ...this.acknowledged.keys());
+    if (member.core.requestRead(readId)) member.reads.set(readId, { minIndex });
     this.drive(member);
   }
 
-  /** Loses an instance; what is not synced is gone. */
+  /** Crashes an instance; state that is not synced is lost. */
   crash(name: string): void {
     const member = this.members.get(name);
     if (member === undefined) return;
@@ -163,52 +170,52 @@
     member.syncing = undefined;
   }
 
-  /** Starts an instance again from its disk. */
+  /** Restarts a crashed instance from its disk. */
   restart(name: string): void {
     const member = this.members.get(name);
     if (member === undefined || member.isUp) return;
     this.startCore(member);
   }
 
-  /** Loses an instance with its disk. */
+  /** Crashes an instance and wipes its disk. */
   wipe(name: string): void {
     const member = this.members.get(name);
     if (member === undefined) return;
     this.crash(name);
-    member.disk = emptyDisk(
-      this.rules.newIncarnationAfterWipe ? { voters: [], learners: [] } : this.firstConfig(),
+    member.disk = createEmptyDisk(
+      this.rules.newIncarnationAfterWipe ? { voters: [], learners: [] } : this.initialConfig(),
     );
     if (this.rules.newIncarnationAfterWipe) {
-      this.incarnations += 1;
-      member.memberId = `${name}#${this.incarnations}`;
+      this.lastIncarnation += 1;
+      member.memberId = `${name}#${this.lastIncarnation}`;
     }
   }
 
-  /** Cuts messages in one direction. */
-  cut(from: string, to: string): void {
-    this.cuts.add(`${from}>${to}`);
+  /** Blocks messages in one direction. */
+  blockLink(from: string, to: string): void {
+    this.blockedLinks.add(`${from}>${to}`);
   }
 
-  /** Cuts an instance off from all others. */
+  /** Partitions an instance from all others. */
   isolate(name: string): void {
     for (const other of this.names) {
-      this.cut(name, other);
-      this.cut(other, name);
+      this.blockLink(name, other);
+      this.blockLink(other, name);
     }
   }
 
-  /** Ends all cuts. */
-  heal(): void {
-    this.cuts.clear();
+  /** Unblocks all links. */
+  unblockLinks(): void {
+    this.blockedLinks.clear();
   }
 
-  /** Hands the leadership over. */
+  /** Starts a leadership transfer. */
   transfer(): void {
     const leader = this.leader();
     if (leader !== undefined) leader.core.transferLeadership(this.clockOf(leader));
   }
 
-  /** Lets the leader take the next step of repair. */
+  /** Lets the leader propose the next planned membership change, if any. */
   repair(): void {
     const leader = this.leader();
     if (leader === undefined) return;
@@ -235,7 +242,7 @@
     this.drive(leader);
   }
 
-  /** Stores a snapshot and forgets the log before it. */
+  /** Stores a snapshot of the applied state and compacts the log. */
   snapshot(name: string): void {
     const member = this.members.get(name);
     if (member?.isUp !== true || member.syncing !== undefined) return;
@@ -247,9 +254,9 @@
     member.core.compactTo(position.index - TRAILING_ENTRIES);
   }
 
-  /** Brings everything back and checks that what was acknowledged is still there. */
-  settle(options: { readonly leaderDue: boolean }): void {
-    this.heal();
+  /** Restarts and reconnects all instances and checks that no acknowledged entry was lost. */
+  settle(options: { readonly isLeaderExpected: boolean }): void {
+    this.unblockLinks();
     for (const name of this.names) this.restart(name);
     for (let round = 0; round < 60; round += 1) {
       this.run(100);
@@ -257,7 +264,7 @@
     }
     const leader = this.leader();
     if (leader === undefined) {
-      if (options.leaderDue) this.violations.push('no leader although everything is up');
+      if (options.isLeaderExpected) this.violations.push('no leader although all instances are up');
       return;
     }
     this.checkCompleteness(leader);
@@ -271,14 +278,14 @@
     return this.nowMs * member.clockRate;
   }
 
-  private firstConfig(): GroupConfig {
+  private initialConfig(): GroupConfig {
     const voters = this.names.slice(0, this.targetVoters).map((name) => `${name}#1`);
     return { voters, learners: [] };
   }
 
   private addMember(memberId: string, config: GroupConfig): void {
     const isVoter = config.voters.includes(memberId);
-    const disk = emptyDisk(isVoter ? config : { voters: [], learners: [] });
+    const disk = createEmptyDisk(isVoter ? config : { voters: [], learners: [] });
     const clockRate = 0.98 + 0.04 * this.random();
     const member: Member = {
       memberId,
@@ -318,7 +325,7 @@
 
   private drive(member: Member): void {
     if (member.syncing !== undefined) {
-      if (this.nowMs < member.syncing.doneAtMs) return;
+      if (this.nowMs < member.syncing.finishedAtMs) return;
       this.finishSync(member, member.syncing.ready);
     }
     const ready = member.core.takeReady();
@@ -326,13 +333,13 @@
     for (const message of ready.earlyMessages) this.send(member, message);
     for (const to of ready.snapshotsTo) this.sendSnapshot(member, to);
     for (const entry of ready.committed) this.apply(member, entry);
-    for (const read of ready.reads) this.answerRead(member, read.readId, read.index);
+    for (const read of ready.reads) this.finishRead(member, read.readId, read.index);
     const needsSync = ready.hardState !== undefined || ready.entries.length > 0;
     if (!needsSync) {
       for (const message of ready.messages) this.send(member, message);
       return;
     }
-    member.syncing = { ready, doneAtMs: this.nowMs + this.random() * MAX_SYNC_MS };
+    member.syncing = { ready, finishedAtMs: this.nowMs + this.random() * MAX_SYNC_MS };
   }
 
   private finishSync(member: Member, ready: Ready): void {
@@ -351,14 +358,14 @@
   private send(from: Member, message: ConsensusMessage): void {
     const sender = instanceOf(from.memberId);
     const receiver = instanceOf(message.to);
-    if (this.random() < this.lossShare) return;
-    const copies = this.random() < this.lossShare ? 2 : 1;
+    if (this.random() < this.lossRate) return;
+    const copies = this.random() < this.lossRate ? 2 : 1;
     for (let copy = 0; copy < copies; copy += 1) {
       this.inFlight.push({
         dueAtMs: this.nowMs + this.random() * MAX_DELAY_MS,
         deliver: () => {
           const member = this.members.get(receiver);
-          if (member?.isUp !== true || this.cuts.has(`${sender}>${receiver}`)) return;
+          if (member?.isUp !== true || this.blockedLinks.has(`${sender}>${receiver}`)) return;
           member.core.receive(message, this.clockOf(member));
         },
       });
@@ -374,8 +381,9 @@
       dueAtMs: this.nowMs + this.random() * MAX_DELAY_MS,
       deliver: () => {
         const member = this.members.get(receiver);
-        const reachable = !this.cuts.has(`${sender}>${receiver}`) && member?.memberId === memberId;
-        if (member?.isUp === true && reachable && member.syncing === undefined) {
+        const isReachable =
+          !this.blockedLinks.has(`${sender}>${receiver}`) && member?.memberId === memberId;
+        if (member?.isUp === true && isReachable && member.syncing === undefined) {
           this.install(member, position, from.memberId);
         }
         if (from.isUp) from.core.snapshotSent(memberId);
@@ -392,26 +400,30 @@
 
   private apply(member: Member, entry: LogEntry): void {
     if (entry.index !== member.applied + 1) {
-      this.violations.push(`${member.memberId} applied ${entry.index} after ${member.applied}`);
+      this.violations.push(
+        `${member.memberId} applied entry ${entry.index} after ${member.applied}`,
+      );
     }
     member.applied = entry.index;
     const known = this.committed.get(entry.index);
     if (known === undefined) this.committed.set(entry.index, entry);
     else if (known.term !== entry.term || !sameBytes(known.data, entry.data)) {
-      this.violations.push(`two entries were committed at ${entry.index}`);
+      this.violations.push(`two different entries were committed at index ${entry.index}`);
     }
     if (member.proposals.get(entry.index) === entry.term) {
       this.acknowledged.set(entry.index, entry.term);
     }
   }
 
-  private answerRead(member: Member, readId: number, index: number): void {
+  private finishRead(member: Member, readId: number, index: number): void {
     const read = member.reads.get(readId);
     if (read === undefined) return;
     member.reads.delete(readId);
-    this.readsAnswered += 1;
-    if (index < read.mustSee) {
-      this.violations.push(`a read at ${member.memberId} saw ${index}, not ${read.mustSee}`);
+    this.finishedReads += 1;
+    if (index < read.minIndex) {
+      this.violations.push(
+        `a read at ${member.memberId} returned index ${index}, expected ${read.minIndex} or higher`,
+      );
     }
   }
 
@@ -429,9 +441,9 @@
 
   private checkCompleteness(leader: Member): void {
     for (const [index, term] of this.acknowledged) {
-      const held = leader.core.termAt(index);
-      const compacted = held === undefined && index <= leader.disk.snapshot.index;
-      if (held !== term && !compacted) {
+      const heldTerm = leader.core.termAt(index);
+      const isCompacted = heldTerm === undefined && index <= leader.disk.snapshot.index;
+      if (heldTerm !== term && !isCompacted) {
         this.violations.push(`leader ${leader.memberId} lacks acknowledged entry ${index}`);
         return;
       }
@@ -439,7 +451,7 @@
   }
 }
 
-function emptyDisk(config: GroupConfig): Disk {
+function createEmptyDisk(config: GroupConfig): Disk {
   return { hardState: undefined, entries: [], snapshot: { index: 0, term: 0, config } };
 }
 
--- a/packages/consensus/src/followers.ts
+++ b/packages/consensus/src/followers.ts
@@ -1,63 +1,63 @@
 /**
- * What a leader knows of the other members of its group.
+ * The leader's view of the other members of its group.
  */
 import { Progress } from './progress.js';
 
-/** Progress of the other members, as long as this member leads. */
+/** Replication progress of each other member, kept while this member is the leader. */
 export class Followers {
-  private readonly self: string;
+  private readonly selfId: string;
   private readonly progress = new Map<string, Progress>();
 
-  constructor(self: string) {
-    this.self = self;
+  constructor(selfId: string) {
+    this.selfId = selfId;
   }
 
-  /** Identities of the members. */
+  /** Ids of the other members. */
   get memberIds(): Iterable<string> {
     return this.progress.keys();
   }
 
-  /** Members with their progress. */
+  /** Member ids with their progress. */
   get all(): Iterable<[string, Progress]> {
     return this.progress;
   }
 
-  /** Progress of a member. */
+  /** Returns the progress of a member, or undefined for this member and for non-members. */
   get(memberId: string): Progress | undefined {
     return this.progress.get(memberId);
   }
 
-  /** Keeps one progress for each other member of a configuration. */
-  adopt(memberIds: readonly string[], nextIndex: number, nowMs: number): void {
+  /** Sets the members of the group: adds progress for new members and removes that of others. */
+  setMembers(memberIds: readonly string[], nextIndex: number, nowMs: number): void {
     for (const memberId of this.progress.keys()) {
       if (!memberIds.includes(memberId)) this.progress.delete(memberId);
     }
     for (const memberId of memberIds) {
-      if (memberId === this.self || this.progress.has(memberId)) continue;
+      if (memberId === this.selfId || this.progress.has(memberId)) continue;
       this.progress.set(memberId, new Progress(nextIndex, nowMs));
     }
   }
 
-  /** Forgets everything. */
+  /** Removes all members. */
   clear(): void {
     this.progress.clear();
   }
 
-  /** Whether a member was heard within a time. */
-  isHeard(memberId: string, withinMs: number, nowMs: number): boolean {
-    if (memberId === this.self) return true;
+  /** Whether a message from the member arrived within the last `withinMs`. */
+  hasRecentContact(memberId: string, withinMs: number, nowMs: number): boolean {
+    if (memberId === this.selfId) return true;
     const progress = this.progress.get(memberId);
-    return progress !== undefined && nowMs - progress.lastHeardMs < withinMs;
+    return progress !== undefined && nowMs - progress.lastContactMs < withinMs;
   }
 
-  /** The highest value that a majority of `voters` has reached, `own` being this member's. */
+  /** Returns the highest value that a majority of `voters` has reached; `own` is this member's. */
   quorumValue(
     voters: readonly string[],
     valueOf: (progress: Progress) => number,
     own: number,
   ): number {
     const values = voters.map((memberId) => {
-      if (memberId === this.self) return own;
+      if (memberId === this.selfId) return own;
       const progress = this.progress.get(memberId);
       return progress === undefined ? 0 : valueOf(progress);
     });
--- a/packages/consensus/src/index.ts
+++ b/packages/consensus/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * Consensus core: replicated log groups as pure decision classes.
+ * Raft consensus for replicated log groups, without input, output or clocks of its own.
  */
 export * from './messages.js';
 export * from './consensus.js';
--- a/packages/consensus/src/log.ts
+++ b/packages/consensus/src/log.ts
@@ -1,9 +1,9 @@
 /**
- * The part of the replicated log that a member holds in memory.
+ * The in-memory part of the replicated log: the entries after the last compaction.
  */
 import type { GroupConfig, LogEntry } from './messages.js';
 
-interface ConfigAt {
+interface ConfigAtIndex {
   readonly index: number;
   readonly config: GroupConfig;
 }
@@ -16,11 +16,11 @@
   readonly entries: readonly LogEntry[];
 }
 
-/** Entries after a base position, with the configurations they contain. */
+/** Log entries after a base position, with the configurations that they contain. */
 export class MemoryLog {
   private base: { index: number; term: number };
   private entries: LogEntry[];
-  private configs: ConfigAt[];
+  private configs: ConfigAtIndex[];
 
   constructor(options: MemoryLogOptions) {
     this.base = { index: options.baseIndex, term: options.baseTerm };
@@ -29,12 +29,12 @@
     for (const entry of options.entries) this.append(entry);
   }
 
-  /** Index before the first entry held. */
+  /** Index before the first entry in memory. */
   get baseIndex(): number {
     return this.base.index;
   }
 
-  /** Index of the last entry. */
+  /** Index of the last entry, or the base index if the log is empty. */
   get lastIndex(): number {
     return this.base.index + this.entries.length;
   }
@@ -44,32 +44,32 @@
     return this.termAt(this.lastIndex) ?? 0;
   }
 
-  /** The configuration in force: the last one in the log, committed or not. */
-  get config(): ConfigAt {
+  /** Latest configuration in the log, committed or not; it is the one in effect. */
+  get config(): ConfigAtIndex {
     const last = this.configs.at(-1);
-    if (last === undefined) throw new Error('a log always has a configuration');
+    if (last === undefined) throw new Error('the log has no configuration');
     return last;
   }
 
-  /** The configuration in force at an index. */
+  /** Returns the configuration in effect at an index. */
   configAt(index: number): GroupConfig {
     const found = this.configs.findLast((entry) => entry.index <= index);
     return (found ?? this.config).config;
   }
 
-  /** Term of an index, or undefined where the log does not reach. */
+  /** Returns the term of an index, or undefined if the index is not in memory. */
   termAt(index: number): number | undefined {
     if (index === this.base.index) return this.base.term;
     return this.entryAt(index)?.term;
   }
 
-  /** The entry at an index. */
+  /** Returns the entry at an index, or undefined if it is not in memory. */
   entryAt(index: number): LogEntry | undefined {
     if (index <= this.base.index) return undefined;
     return this.entries[index - this.base.index - 1];
   }
 
-  /** Entries from `fromIndex` to `toIndex` inclusive, up to about `maxBytes`. */
+  /** Returns entries `fromIndex` to `toIndex` inclusive, at least one and up to `maxBytes`. */
   slice(fromIndex: number, toIndex: number, maxBytes = Infinity): LogEntry[] {
     const result: LogEntry[] = [];
     let bytes = 0;
@@ -83,10 +83,10 @@
     return result;
   }
 
-  /** Adds an entry behind the last one. */
+  /** Appends an entry; throws unless its index follows the last index. */
   append(entry: LogEntry): void {
     if (entry.index !== this.lastIndex + 1) {
-      throw new Error(`append: entry ${entry.index} does not follow ${this.lastIndex}`);
+      throw new Error(`cannot append entry ${entry.index}: the last index is ${this.lastIndex}`);
     }
     this.entries.push(entry);
     if (entry.config !== undefined) this.configs.push({ index: entry.index, config: entry.config });
@@ -98,7 +98,7 @@
     this.configs = this.configs.filter((entry, position) => position === 0 || entry.index < index);
   }
 
-  /** Forgets the entries up to `index`. */
+  /** Discards the entries up to and including `index`. */
   compactTo(index: number): void {
     const term = this.termAt(index);
     if (term === undefined || index <= this.base.index) return;
@@ -108,7 +108,7 @@
     this.configs = [{ index, config }, ...this.configs.filter((entry) => entry.index > index)];
   }
 
-  /** Starts again behind a snapshot. */
+  /** Replaces the whole log by the position of an installed snapshot. */
   reset(index: number, term: number, config: GroupConfig): void {
     this.base = { index, term };
     this.entries = [];
--- a/packages/consensus/src/membership-planner.ts
+++ b/packages/consensus/src/membership-planner.ts
@@ -1,56 +1,58 @@
 /**
- * Plans membership changes of one group: repair by a spare, or shrinking.
+ * Plans membership changes of one group: replaces lost voters by spares, or shrinks the group.
  */
 import type { GroupConfig } from './messages.js';
 
-/** What the planner knows of a member. */
+/** Status of a member as seen by the leader. */
 export interface MemberStatus {
   readonly memberId: string;
+  /** Time since the last message from the member. */
   readonly silentMs: number;
-  /** Entries that the member still lacks. */
+  /** Number of committed entries that the member lacks. */
   readonly lagEntries: number;
 }
 
 /** Options of {@link planMembership}. */
 export interface PlanMembershipOptions {
   readonly config: GroupConfig;
-  /** The planning leader; it is never removed. */
+  /** Member id of the leader that plans the change; it is never removed. */
   readonly selfId: string;
   /** Status of the other members. */
   readonly members: ReadonlyMap<string, MemberStatus>;
-  /** Instances that are up, by identity; those outside the group may serve as spares. */
+  /** Member ids of the instances that are up; instances outside the group may serve as spares. */
   readonly liveIds: readonly string[];
   readonly targetVoters: number;
-  /** Silence after which a voter is replaced. */
+  /** Time without a message after which a voter is replaced. */
   readonly replaceAfterMs: number;
+  /** Entries that a learner may lack when it is promoted. */
   readonly maxLagEntries?: number;
-  /** Members that are to be emptied: they are replaced although they are up. */
+  /** Members that are retiring: they are replaced although they are up. */
   readonly retiringIds?: ReadonlySet<string>;
 }
 
-/** Never fewer voters than this by repair. */
+/** Shrinking leaves at least this many voters. */
 const MIN_VOTERS = 3;
 const DEFAULT_MAX_LAG_ENTRIES = 64;
 
-/** Name of the instance of an identity `instance#incarnation`. */
+/** Returns the instance name of a member id (`instance#incarnation`). */
 export function instanceOf(memberId: string): string {
   return memberId.split('#')[0] ?? memberId;
 }
 
 /**
- * The next configuration, one change away, or undefined where none is due.
+ * Returns the next configuration, which differs by one change, or undefined if none is needed.
  *
- * A voter whose disk is gone goes at once: it can only count against a quorum. A silent one
- * may come back, so its replacement comes first: it joins as a learner, is promoted once it
- * has caught up, and only then the silent voter goes.
+ * A voter whose disk was lost is removed first, since it raises the quorum and can never vote
+ * again. An unresponsive voter may recover, so its replacement is added first: a spare joins as a
+ * learner and is promoted when it has caught up; only then the unresponsive voter is removed.
  */
 export function planMembership(options: PlanMembershipOptions): GroupConfig | undefined {
   return (
-    dropSupersededVoter(options) ??
+    removeSupersededVoter(options) ??
     promoteLearner(options) ??
-    dropLostVoter(options) ??
+    removeLostVoter(options) ??
     addLearner(options) ??
-    dropLostLearner(options)
+    removeLostLearner(options)
   );
 }
 
@@ -62,18 +64,20 @@
   return status !== undefined && status.silentMs >= options.replaceAfterMs;
 }
 
-/** The same instance runs under a newer identity: its old disk is gone. */
+/** Whether the instance is running under another incarnation: the old disk was lost. */
 function isSuperseded(options: PlanMembershipOptions, memberId: string): boolean {
   const instance = instanceOf(memberId);
-  const twin = options.liveIds.find((id) => id !== memberId && instanceOf(id) === instance);
-  return twin !== undefined && !options.liveIds.includes(memberId);
+  const otherId = options.liveIds.find((id) => id !== memberId && instanceOf(id) === instance);
+  return otherId !== undefined && !options.liveIds.includes(memberId);
 }
 
-function dropSupersededVoter(options: PlanMembershipOptions): GroupConfig | undefined {
+function removeSupersededVoter(options: PlanMembershipOptions): GroupConfig | undefined {
   const { voters, learners } = options.config;
-  const gone = voters.find((voter) => voter !== options.selfId && isSuperseded(options, voter));
-  if (gone === undefined) return undefined;
-  return { voters: voters.filter((voter) => voter !== gone), learners };
+  const superseded = voters.find(
+    (voter) => voter !== options.selfId && isSuperseded(options, voter),
+  );
+  if (superseded === undefined) return undefined;
+  return { voters: voters.filter((voter) => voter !== superseded), learners };
 }
 
 function healthyVoters(options: PlanMembershipOptions): string[] {
@@ -83,43 +87,44 @@
 function promoteLearner(options: PlanMembershipOptions): GroupConfig | undefined {
   const { config } = options;
   const maxLag = options.maxLagEntries ?? DEFAULT_MAX_LAG_ENTRIES;
-  const ready = config.learners.find((learner) => {
+  const caughtUp = config.learners.find((learner) => {
     const status = options.members.get(learner);
     if (status === undefined || isLost(options, learner)) return false;
     return options.liveIds.includes(learner) && status.lagEntries <= maxLag;
   });
-  if (ready === undefined) return undefined;
+  if (caughtUp === undefined) return undefined;
   if (healthyVoters(options).length >= options.targetVoters) return undefined;
-  // Promoting must not raise the quorum above what is alive.
+  // A promotion must not raise the quorum above the number of healthy voters.
   const quorumAfter = Math.floor((config.voters.length + 1) / 2) + 1;
   if (healthyVoters(options).length + 1 < quorumAfter) return undefined;
   return {
-    voters: [...config.voters, ready],
-    learners: config.learners.filter((learner) => learner !== ready),
+    voters: [...config.voters, caughtUp],
+    learners: config.learners.filter((learner) => learner !== caughtUp),
   };
 }
 
-function dropLostVoter(options: PlanMembershipOptions): GroupConfig | undefined {
+function removeLostVoter(options: PlanMembershipOptions): GroupConfig | undefined {
   const { config } = options;
   const lost = config.voters.filter((voter) => isLost(options, voter));
-  const dropped = lost[0];
-  if (dropped === undefined) return undefined;
-  const remaining = config.voters.filter((voter) => voter !== dropped);
-  const surplus = config.voters.length > options.targetVoters;
-  const spareAvailable = config.learners.length > 0 || findSpare(options) !== undefined;
-  if (!surplus && (spareAvailable || !shrinkingHelps(config.voters.length, lost.length))) {
+  const removed = lost[0];
+  if (removed === undefined) return undefined;
+  const remaining = config.voters.filter((voter) => voter !== removed);
+  const hasSurplus = config.voters.length > options.targetVoters;
+  const hasSpare = config.learners.length > 0 || findSpare(options) !== undefined;
+  if (!hasSurplus && (hasSpare || !isShrinkingUseful(config.voters.length, lost.length))) {
     return undefined;
   }
-  const alive = remaining.length - (lost.length - 1);
-  if (alive < Math.floor(remaining.length / 2) + 1) return undefined;
+  const healthyRemaining = remaining.length - (lost.length - 1);
+  if (healthyRemaining < Math.floor(remaining.length / 2) + 1) return undefined;
   return { voters: remaining, learners: config.learners };
 }
 
 /**
- * From an odd number, dropping one voter does not lower the quorum and only forgoes the
- * return of that voter: it pays with a second loss, on the way from 5 over 4 to 3.
+ * Returns whether removing a lost voter helps without a spare. With an odd number of voters,
+ * removing one does not lower the quorum, and the voter could still have recovered. It helps after
+ * a second loss, when the group shrinks from 5 voters over 4 to 3.
  */
-function shrinkingHelps(voterCount: number, lostCount: number): boolean {
+function isShrinkingUseful(voterCount: number, lostCount: number): boolean {
   if (voterCount <= MIN_VOTERS) return false;
   return voterCount % 2 === 0 || lostCount >= 2;
 }
@@ -127,10 +132,12 @@
 function findSpare(options: PlanMembershipOptions): string | undefined {
   const { config } = options;
   const members = [...config.voters, ...config.learners];
-  const taken = new Set(members.filter((id) => !isLost(options, id)).map(instanceOf));
+  const usedInstances = new Set(members.filter((id) => !isLost(options, id)).map(instanceOf));
   return options.liveIds.find(
     (id) =>
-      !members.includes(id) && !taken.has(instanceOf(id)) && options.retiringIds?.has(id) !== true,
+      !members.includes(id) &&
+      !usedInstances.has(instanceOf(id)) &&
+      options.retiringIds?.has(id) !== true,
   );
 }
 
@@ -145,10 +152,10 @@
   return { voters: config.voters, learners: [...config.learners, spare] };
 }
 
-function dropLostLearner(options: PlanMembershipOptions): GroupConfig | undefined {
+function removeLostLearner(options: PlanMembershipOptions): GroupConfig | undefined {
   const { config } = options;
-  const enough = healthyVoters(options).length >= options.targetVoters;
-  const lost = config.learners.find((learner) => enough || isLost(options, learner));
+  const hasEnoughVoters = healthyVoters(options).length >= options.targetVoters;
+  const lost = config.learners.find((learner) => hasEnoughVoters || isLost(options, learner));
   if (lost === undefined) return undefined;
   return {
     voters: config.voters,
--- a/packages/consensus/src/messages.ts
+++ b/packages/consensus/src/messages.ts
@@ -1,17 +1,17 @@
 /**
- * Messages, log entries and configurations of the consensus core.
+ * Messages, log entries and configurations of a consensus group.
  */
 
-/** Members of one group. Identities are `instance#incarnation`. */
+/** Voters and learners of a group, by member id (`instance#incarnation`). */
 export interface GroupConfig {
   readonly voters: readonly string[];
   readonly learners: readonly string[];
 }
 
-/** What an entry of the log holds. */
+/** Kind of a log entry: a no-op of a new leader, a command, or a membership change. */
 export type EntryKind = 'noop' | 'command' | 'config';
 
-/** One entry of the replicated log. */
+/** Entry of the replicated log. */
 export interface LogEntry {
   readonly index: number;
   readonly term: number;
@@ -20,13 +20,13 @@
   readonly config?: GroupConfig;
 }
 
-/** State that must be synced before any answer that depends on it. */
+/** Raft state that must be synced to disk before any message that depends on it is sent. */
 export interface HardState {
   readonly term: number;
   readonly votedFor: string;
 }
 
-/** Where a snapshot stands in the log. */
+/** Position in the log of the last entry that a snapshot covers, and the configuration there. */
 export interface SnapshotPosition {
   readonly index: number;
   readonly term: number;
@@ -39,35 +39,35 @@
   readonly term: number;
 }
 
-/** Asks whether an election could be won, without raising the term. */
+/** Asks whether the sender could win an election, without raising the term. */
 export interface PreVoteMessage extends Envelope {
   readonly type: 'preVote';
   readonly lastIndex: number;
   readonly lastTerm: number;
 }
 
-/** Answer to {@link PreVoteMessage}. */
+/** Reply to {@link PreVoteMessage}. */
 export interface PreVoteReply extends Envelope {
   readonly type: 'preVoteReply';
   readonly granted: boolean;
 }
 
-/** Asks for a vote. */
+/** Asks for a vote in the term of the message. */
 export interface VoteMessage extends Envelope {
   readonly type: 'vote';
   readonly lastIndex: number;
   readonly lastTerm: number;
-  /** The old leader asked for this election, so its lease does not count. */
+  /** The leader requested this election, so recent contact with it is no reason to ignore it. */
   readonly transfer: boolean;
 }
 
-/** Answer to {@link VoteMessage}. */
+/** Reply to {@link VoteMessage}. */
 export interface VoteReply extends Envelope {
   readonly type: 'voteReply';
   readonly granted: boolean;
 }
 
-/** Entries from the leader. */
+/** Log entries sent by the leader. */
 export interface AppendMessage extends Envelope {
   readonly type: 'append';
   readonly previousIndex: number;
@@ -76,29 +76,29 @@
   readonly commitIndex: number;
 }
 
-/** Answer to {@link AppendMessage}; sent once the entries are synced. */
+/** Reply to {@link AppendMessage}; sent after the entries are synced. */
 export interface AppendReply extends Envelope {
   readonly type: 'appendReply';
   readonly success: boolean;
-  /** Highest index known to match, or on a refusal where to try next. */
+  /** Highest matching index; after a rejection, a hint where the logs may match. */
   readonly matchIndex: number;
 }
 
-/** Keeps the leader's lease and carries the commit index. */
+/** Confirms the leader to its followers and carries the commit index. */
 export interface HeartbeatMessage extends Envelope {
   readonly type: 'heartbeat';
   readonly commitIndex: number;
-  /** Number of the heartbeat round; reads wait for a quorum of a round. */
+  /** Number of the heartbeat round; a read waits until a quorum has replied to its round. */
   readonly round: number;
 }
 
-/** Answer to {@link HeartbeatMessage}. */
+/** Reply to {@link HeartbeatMessage}. */
 export interface HeartbeatReply extends Envelope {
   readonly type: 'heartbeatReply';
   readonly round: number;
 }
 
-/** Tells the chosen successor to start its election at once. */
+/** Asks the target of a leadership transfer to start an election immediately. */
 export interface TimeoutNowMessage extends Envelope {
   readonly type: 'timeoutNow';
 }
@@ -115,29 +115,29 @@
   | HeartbeatReply
   | TimeoutNowMessage;
 
-/** Work that the core hands to its driver. */
+/** Work that a member hands to its driver. */
 export interface Ready {
-  /** To be synced before {@link Ready.messages} go out. */
+  /** To be synced before {@link Ready.messages} are sent. */
   readonly hardState: HardState | undefined;
-  /** To be synced; an entry replaces all stored ones from its index on. */
+  /** To be synced; the first entry replaces all stored entries from its index on. */
   readonly entries: readonly LogEntry[];
-  /** May go out at once, beside the sync. */
+  /** May be sent immediately, while the sync is still running. */
   readonly earlyMessages: readonly ConsensusMessage[];
-  /** Go out only after the sync. */
+  /** Must not be sent before the sync has finished. */
   readonly messages: readonly ConsensusMessage[];
-  /** Committed and synced here; to be applied in order. */
+  /** Entries that are committed and synced on this member; to be applied in order. */
   readonly committed: readonly LogEntry[];
-  /** Reads that may be answered once `index` is applied. */
+  /** Reads that may be served once their `index` is applied. */
   readonly reads: readonly ReadState[];
   /** Members that need a snapshot. */
   readonly snapshotsTo: readonly string[];
 }
 
-/** A read that a quorum has confirmed. */
+/** Linearizable read whose leader was confirmed by a quorum. */
 export interface ReadState {
   readonly readId: number;
   readonly index: number;
 }
 
-/** Role of a member in its group. */
+/** Raft role of a member in its group. */
 export type Role = 'follower' | 'preCandidate' | 'candidate' | 'leader';
--- a/packages/consensus/src/pending-reads.ts
+++ b/packages/consensus/src/pending-reads.ts
@@ -1,31 +1,31 @@
 /**
- * Linearizable reads that wait for a quorum to confirm the leader.
+ * Linearizable reads (Raft read index) that wait until a quorum has confirmed the leader.
  */
 import type { ReadState } from './messages.js';
 
 interface PendingRead {
   readonly readId: number;
-  /** Commit index that the read has to see; -1 until it is part of a heartbeat round. */
+  /** Read index: the commit index that must be applied; -1 until a heartbeat round is assigned. */
   index: number;
   round: number;
 }
 
-/** Reads in the order in which they came. */
+/** Reads in order of arrival. */
 export class PendingReads {
   private reads: PendingRead[] = [];
 
-  /** Whether some read is not part of a heartbeat round yet. */
-  get hasUnstamped(): boolean {
+  /** Whether a read has no heartbeat round yet. */
+  get hasUnassigned(): boolean {
     return this.reads.some((read) => read.index < 0);
   }
 
-  /** Takes a read. */
+  /** Adds a read; it waits for the next heartbeat round. */
   add(readId: number): void {
     this.reads.push({ readId, index: -1, round: 0 });
   }
 
-  /** Reads that came before this round are confirmed by a quorum of it. */
-  stamp(commitIndex: number, round: number): void {
+  /** Assigns the round and its commit index to all reads that have no round yet. */
+  assignRound(commitIndex: number, round: number): void {
     for (const read of this.reads) {
       if (read.index >= 0) continue;
       read.index = commitIndex;
@@ -33,7 +33,7 @@
     }
   }
 
-  /** Takes out the reads whose round a quorum has answered. */
+  /** Removes and returns the reads whose round a quorum has replied to. */
   release(confirmedRound: number): ReadState[] {
     const isConfirmed = (read: PendingRead): boolean =>
       read.index >= 0 && read.round <= confirmedRound;
@@ -42,7 +42,7 @@
     return confirmed.map(({ readId, index }) => ({ readId, index }));
   }
 
-  /** Forgets all reads, when the leadership is lost. */
+  /** Drops all reads. Called when the leader or the term changes. */
   clear(): void {
     this.reads = [];
   }
--- a/packages/consensus/src/progress.ts
+++ b/packages/consensus/src/progress.ts
@@ -1,101 +1,109 @@
 /**
- * What a leader knows of one follower, with flow control to slow ones.
+ * Replication progress of one follower as seen by the leader, with flow control.
  */
 
-/** How entries go to a follower. */
+/**
+ * How the leader sends entries to a follower: one message at a time until the logs are known to
+ * match (`probe`), pipelined (`replicate`), or not at all while a snapshot is sent (`snapshot`).
+ */
 export type ProgressState = 'probe' | 'replicate' | 'snapshot';
 
 const MAX_IN_FLIGHT_MESSAGES = 64;
-/** Heartbeat rounds without progress after which entries count as lost. */
+/** Heartbeat rounds without progress after which sent entries are considered lost. */
 const STALLED_ROUNDS = 3;
 
-/** Replication progress of one member. */
+/** Replication progress of one follower. */
 export class Progress {
   state: ProgressState = 'probe';
   matchIndex = 0;
   nextIndex: number;
-  /** Last time a message from the member arrived, on the leader's clock. */
-  lastHeardMs: number;
-  /** Highest heartbeat round that the member answered. */
+  /** Time of the last message from the member, on the leader's clock. */
+  lastContactMs: number;
+  /** Highest heartbeat round that the member has replied to. */
   ackedRound = 0;
-  private inFlightEnds: number[] = [];
-  private probeSent = false;
-  private watchedMatch = -1;
-  private watchedRound = 0;
+  private inFlightLastIndexes: number[] = [];
+  private isProbeInFlight = false;
+  private stallCheckMatch = -1;
+  private stallCheckRound = 0;
 
   constructor(nextIndex: number, nowMs: number) {
     this.nextIndex = nextIndex;
-    this.lastHeardMs = nowMs;
+    this.lastContactMs = nowMs;
   }
 
-  /** Whether more entries may be sent now. */
+  /** Whether another append message may be sent now. */
   maySend(): boolean {
     if (this.state === 'snapshot') return false;
-    if (this.state === 'probe') return !this.probeSent;
-    return this.inFlightEnds.length < MAX_IN_FLIGHT_MESSAGES;
+    if (this.state === 'probe') return !this.isProbeInFlight;
+    return this.inFlightLastIndexes.length < MAX_IN_FLIGHT_MESSAGES;
   }
 
-  /** Notes that entries up to `lastIndex` were sent. */
-  sent(lastIndex: number): void {
+  /** Records that entries up to `lastIndex` were sent. */
+  recordSent(lastIndex: number): void {
     if (this.state === 'probe') {
-      this.probeSent = true;
+      this.isProbeInFlight = true;
       return;
     }
     if (lastIndex >= this.nextIndex) {
       this.nextIndex = lastIndex + 1;
-      this.inFlightEnds.push(lastIndex);
+      this.inFlightLastIndexes.push(lastIndex);
     }
   }
 
-  /** Notes a success; answers whether the match advanced. */
-  acknowledged(matchIndex: number): boolean {
+  /** Records a successful append; returns whether the matching index advanced. */
+  recordSuccess(matchIndex: number): boolean {
     const advanced = matchIndex > this.matchIndex;
     this.matchIndex = Math.max(this.matchIndex, matchIndex);
     this.nextIndex = Math.max(this.nextIndex, this.matchIndex + 1);
-    this.inFlightEnds = this.inFlightEnds.filter((end) => end > matchIndex);
+    this.inFlightLastIndexes = this.inFlightLastIndexes.filter(
+      (lastIndex) => lastIndex > matchIndex,
+    );
     if (this.state === 'snapshot' && !advanced) return false;
     this.state = 'replicate';
-    this.probeSent = false;
+    this.isProbeInFlight = false;
     return advanced;
   }
 
-  /** Notes a refusal; `hint` is where the follower's log may match. */
-  refused(hint: number): void {
+  /** Records a rejected append; `hint` is an index at which the follower's log may match. */
+  recordRejection(hint: number): void {
     this.state = 'probe';
-    this.probeSent = false;
-    this.inFlightEnds = [];
+    this.isProbeInFlight = false;
+    this.inFlightLastIndexes = [];
     this.nextIndex = Math.max(this.matchIndex + 1, Math.min(hint + 1, this.nextIndex - 1));
     this.nextIndex = Math.max(1, this.nextIndex);
   }
 
-  /** Waits for a snapshot to arrive. */
+  /** Stops sending entries until a snapshot has been sent. */
   waitForSnapshot(): void {
     this.state = 'snapshot';
-    this.inFlightEnds = [];
+    this.inFlightLastIndexes = [];
   }
 
-  /** Tries again from what is known to match. */
-  probeAgain(): void {
+  /** Goes back to probing, from the entry after the matching index. */
+  restartProbing(): void {
     this.state = 'probe';
-    this.probeSent = false;
-    this.inFlightEnds = [];
+    this.isProbeInFlight = false;
+    this.inFlightLastIndexes = [];
     this.nextIndex = this.matchIndex + 1;
   }
 
-  /** Whether the match has not moved for some heartbeat rounds although entries are out. */
-  stalledSince(matchIndex: number, round: number): boolean {
-    if (this.watchedMatch !== matchIndex) {
-      this.watchedMatch = matchIndex;
-      this.watchedRound = round;
+  /**
+   * Returns whether `matchIndex` has not advanced for {@link STALLED_ROUNDS} heartbeat rounds.
+   * The caller checks that the follower lacks entries.
+   */
+  isStalled(matchIndex: number, round: number): boolean {
+    if (this.stallCheckMatch !== matchIndex) {
+      this.stallCheckMatch = matchIndex;
+      this.stallCheckRound = round;
       return false;
     }
-    if (round - this.watchedRound < STALLED_ROUNDS) return false;
-    this.watchedRound = round;
+    if (round - this.stallCheckRound < STALLED_ROUNDS) return false;
+    this.stallCheckRound = round;
     return true;
   }
 
-  /** A lost probe may be sent again. */
+  /** Allows another probe, because the previous probe may be lost. */
   allowProbe(): void {
-    this.probeSent = false;
+    this.isProbeInFlight = false;
   }
 }
