--- a/packages/control/src/cluster-finder.test.ts
+++ b/packages/control/src/cluster-finder.test.ts
@@ -7,17 +7,17 @@
 
 const CLUSTER = { clusterId: 'c', initialMembers: ['a#1'], jobGroupCount: 0, voterCount: 3 };
 const OWN: HelloAnswer = { instance: 'self', memberId: 'self#1', cluster: undefined };
-const KNOWS: HelloAnswer = { instance: 'a', memberId: 'a#1', cluster: CLUSTER };
+const CLUSTER_MEMBER: HelloAnswer = { instance: 'a', memberId: 'a#1', cluster: CLUSTER };
 
-/** Peers of which some never answer. */
-function bookOf(answers: Readonly<Record<string, HelloAnswer | undefined>>): PeerConnections {
+/** Creates peers that send the given replies; a peer without a reply never replies. */
+function fakePeers(replies: Readonly<Record<string, HelloAnswer | undefined>>): PeerConnections {
   const get = (name: string) => ({
     request: () => {
-      const answer = answers[name];
-      return answer === undefined ? new Promise(() => undefined) : Promise.resolve(answer);
+      const reply = replies[name];
+      return reply === undefined ? new Promise(() => undefined) : Promise.resolve(reply);
     },
   });
-  return { names: Object.keys(answers), get } as unknown as PeerConnections;
+  return { names: Object.keys(replies), get } as unknown as PeerConnections;
 }
 
 function find(peers: PeerConnections, bootstrapMembers: readonly string[]) {
@@ -32,14 +32,14 @@
 }
 
 describe('findCluster', () => {
-  test(title('takes the first cluster that is told, however many peers are silent'), async (t) => {
-    const peers = bookOf({ silent: undefined, a: KNOWS, gone: undefined });
+  test(title('joins the first cluster in a reply although other peers never reply'), async (t) => {
+    const peers = fakePeers({ unresponsive: undefined, a: CLUSTER_MEMBER, lost: undefined });
     t.deepEqual(await find(peers, []), CLUSTER);
   });
 
-  test(title('forms a cluster of the sizes asked for where all members know none'), async (t) => {
+  test(title('forms a cluster of the given sizes if no bootstrap member has one'), async (t) => {
     const other: HelloAnswer = { instance: 'z', memberId: 'z#1', cluster: undefined };
-    const formed = await find(bookOf({ z: other }), ['self', 'z']);
+    const formed = await find(fakePeers({ z: other }), ['self', 'z']);
     t.deepEqual(
       { ...formed, clusterId: '' },
       { ...CLUSTER, clusterId: '', initialMembers: ['self#1', 'z#1'], jobGroupCount: 2 },
--- a/packages/control/src/control-node.ts
+++ b/packages/control/src/control-node.ts
@@ -1,5 +1,5 @@
 /**
- * The control daemon: the table, orders and jobs of a fleet with listed peers.
+ * Control node: hosts the table, orders and jobs of a fleet whose peers are listed in its settings.
  */
 import type { ControlSettings, Settings } from '@shedline/config';
 import type { ControlPort, ControlStatus } from '@shedline/control-client';
@@ -9,9 +9,9 @@
 import { findCluster } from './cluster-finder.js';
 import { ControlRequests } from './control-requests.js';
 import { GroupNode } from './group-node.js';
-import { JobDuties } from './job-duties.js';
+import { JobLeaderTasks } from './job-leader-tasks.js';
 import { JobGroup, TableGroup } from './state-machine.js';
-import { TableDuties } from './table-duties.js';
+import { TableLeaderTasks } from './table-leader-tasks.js';
 
 /** Options of {@link ControlNode}. */
 export interface ControlNodeOptions {
@@ -19,12 +19,13 @@
   readonly control: ControlSettings;
   readonly logger: Logger;
   readonly random?: () => number;
-  /** Monotonic milliseconds. */
+  /** Returns monotonic time in milliseconds. */
   readonly nowMs?: () => number;
 }
 
-/** One control instance. */
+/** Control node of one instance. */
 export class ControlNode {
+  /** Port for callers in the same process. */
   readonly port: ControlPort;
   private readonly settings: Settings;
   private readonly control: ControlSettings;
@@ -32,8 +33,8 @@
   private readonly server: PeerServer;
   private readonly peers: PeerConnections;
   private readonly groups: GroupNode;
-  private readonly jobDuties: JobDuties;
-  private readonly tableDuties: TableDuties;
+  private readonly jobTasks: JobLeaderTasks;
+  private readonly tableTasks: TableLeaderTasks;
   private readonly requests: ControlRequests;
 
   constructor(options: ControlNodeOptions) {
@@ -46,15 +47,15 @@
     const inBackground = (work: Promise<unknown>): void => {
       this.groups.inBackground(work);
     };
-    this.jobDuties = new JobDuties({ control, inBackground });
-    this.tableDuties = new TableDuties({ control, logger, nowMs, random, inBackground });
+    this.jobTasks = new JobLeaderTasks({ control, inBackground });
+    this.tableTasks = new TableLeaderTasks({ control, logger, nowMs, random, inBackground });
     this.peers = new PeerConnections({ name: settings.name, secret: settings.instanceSecret });
     this.groups = this.createGroups(random, nowMs);
     this.requests = new ControlRequests({
       instance: settings.name,
       hosts: this.groups.hosts,
-      jobDuties: this.jobDuties,
-      tableDuties: this.tableDuties,
+      jobTasks: this.jobTasks,
+      tableTasks: this.tableTasks,
       nowMs,
       groupCount: () => this.groups.cluster?.jobGroupCount,
     });
@@ -76,29 +77,29 @@
     };
   }
 
-  /** Opens the data folder, finds or forms the cluster and starts the groups. */
+  /** Opens the data folder, finds or forms the cluster, and starts the groups. */
   async start(): Promise<void> {
     await this.groups.open();
     await this.server.listen(this.control.listenHost, this.control.listenPort);
     for (const peer of this.control.peers) this.peers.add(peer);
     await this.groups.join();
-    this.logger.info('control ready', { memberId: this.groups.memberId, step: 'start' });
+    this.logger.info('control node ready', { memberId: this.groups.memberId, step: 'start' });
   }
 
-  /** Hands leaderships over, then stops. */
+  /** Transfers leadership to other members, then stops. */
   async stop(): Promise<void> {
     await this.groups.stop();
     this.peers.close();
     await this.server.close();
   }
 
-  /** Ends at once, as a lost instance would; what is synced stays. */
+  /** Stops immediately, as in a crash; synced data stays on disk. */
   kill(): void {
     this.groups.kill();
     this.peers.close();
   }
 
-  /** State of this instance. */
+  /** Returns the status of this instance and its groups. */
   status(): ControlStatus {
     return {
       instance: this.settings.name,
@@ -112,7 +113,7 @@
   }
 
   private createGroups(random: () => number, nowMs: () => number): GroupNode {
-    const { settings, control, logger, peers, jobDuties, tableDuties } = this;
+    const { settings, control, logger, peers, jobTasks, tableTasks } = this;
     const voterCount = Math.min(control.voterCount, control.peers.length);
     return new GroupNode({
       name: settings.name,
@@ -135,18 +136,18 @@
             isStopped: () => this.groups.isStopped,
           }),
         roleChanged: (host, memberId) => {
-          jobDuties.roleChanged(host.group);
+          jobTasks.roleChanged(host.group);
           if (host.machine instanceof TableGroup) {
-            tableDuties.roleChanged(host, host.machine, memberId);
+            tableTasks.roleChanged(host, host.machine, memberId);
           }
         },
         leaderTick: (host, tickMs, intervalMs) => {
           const { machine } = host;
-          if (machine instanceof JobGroup) jobDuties.tick(host, machine, tickMs, intervalMs);
-          else tableDuties.tick(host, tickMs);
+          if (machine instanceof JobGroup) jobTasks.tick(host, machine, tickMs, intervalMs);
+          else tableTasks.tick(host, tickMs);
         },
         housekeep: (host) => {
-          if (host.machine instanceof JobGroup) jobDuties.housekeep(host);
+          if (host.machine instanceof JobGroup) jobTasks.housekeep(host);
         },
       },
     });
@@ -154,6 +155,6 @@
 
   private async onRequest(method: string, payload: unknown): Promise<unknown> {
     if (method === 'status') return this.status();
-    return (await this.groups.answer(method, payload)) ?? this.requests.answer(method, payload);
+    return (await this.groups.answer(method, payload)) ?? this.requests.handle(method, payload);
   }
 }
--- a/packages/control/src/control-requests.ts
+++ b/packages/control/src/control-requests.ts
@@ -1,26 +1,26 @@
 /**
- * Requests of entries and peers to a control instance.
+ * Handles requests of entries and peers to a control instance.
  */
 import type { ControlMethod, Proposal, Query } from '@shedline/control-client';
 import { ShedlineError } from '@shedline/errors';
 import type { EntryStatus } from '@shedline/table';
 import { TABLE_GROUP } from '@shedline/types';
 import type { GroupHost } from './group-host.js';
-import type { JobDuties } from './job-duties.js';
-import type { TableDuties } from './table-duties.js';
+import type { JobLeaderTasks } from './job-leader-tasks.js';
+import type { TableLeaderTasks } from './table-leader-tasks.js';
 
 /** Options of {@link ControlRequests}. */
 export interface ControlRequestsOptions {
   readonly instance: string;
   readonly hosts: ReadonlyMap<number, GroupHost>;
-  readonly jobDuties: JobDuties;
-  readonly tableDuties: TableDuties;
+  readonly jobTasks: JobLeaderTasks;
+  readonly tableTasks: TableLeaderTasks;
   readonly nowMs: () => number;
-  /** Job groups of the cluster; undefined while there is none. */
+  /** Number of job groups of the cluster; undefined while the instance has no cluster. */
   readonly groupCount: () => number | undefined;
 }
 
-/** Answers requests once the instance is part of a cluster. */
+/** Handles requests once the instance belongs to a cluster. */
 export class ControlRequests {
   private readonly options: ControlRequestsOptions;
 
@@ -28,8 +28,8 @@
     this.options = options;
   }
 
-  /** Answers one request; throws where another instance has to be asked. */
-  async answer(method: string, payload: unknown): Promise<unknown> {
+  /** Handles a request; throws `unavailable` if the caller should try another instance. */
+  async handle(method: string, payload: unknown): Promise<unknown> {
     const groupCount = this.options.groupCount();
     if (groupCount === undefined) throw this.notReady(method);
     switch (method as ControlMethod) {
@@ -57,7 +57,7 @@
     const host = this.hostOf(payload.group, 'query');
     if (payload.query.type === 'inForce') {
       await host.confirmLeadership();
-      return this.options.tableDuties.report(payload.query.revision);
+      return this.options.tableTasks.report(payload.query.revision);
     }
     return host.query(payload.query);
   }
@@ -65,13 +65,13 @@
   private async renew(payload: { group: number; leaseIds: string[] }): Promise<string[]> {
     const host = this.hostOf(payload.group, 'renew');
     await host.confirmLeadership();
-    return this.options.jobDuties.renew(host, payload.leaseIds, this.options.nowMs());
+    return this.options.jobTasks.renew(host, payload.leaseIds, this.options.nowMs());
   }
 
   private async refresh(status: EntryStatus): Promise<unknown> {
     const host = this.hostOf(TABLE_GROUP, 'refresh');
     const delta = await host.query({ type: 'table', fromRevision: status.revision });
-    return { delta, entries: this.options.tableDuties.hear(status) };
+    return { delta, entries: this.options.tableTasks.recordEntryStatus(status) };
   }
 
   private hostOf(group: number, step: string): GroupHost {
@@ -82,7 +82,7 @@
 
   private notReady(step: string): ShedlineError {
     const { instance } = this.options;
-    const message = `${instance} does not serve this; ask another control instance`;
+    const message = `${instance} cannot serve this request; try another control instance`;
     return new ShedlineError({ type: 'unavailable', message, step, peer: instance, ran: 'no' });
   }
 }
--- a/packages/control/src/control.test.ts
+++ b/packages/control/src/control.test.ts
@@ -1,57 +1,66 @@
 import test from 'ava';
 import { describe, title } from '@shedline/test-utils';
-import { newCluster, planBootstrap } from './bootstrap.js';
+import { createCluster, planBootstrap } from './bootstrap.js';
 import type { HelloAnswer } from './bootstrap.js';
-import { memberStatuses } from './member-duties.js';
+import { memberStatuses } from './membership-tasks.js';
 
 const bootstrapMembers = ['a', 'b', 'c'];
 
-function answers(...given: HelloAnswer[]): Map<string, HelloAnswer> {
-  return new Map(given.map((answer) => [answer.instance, answer]));
+function repliesByInstance(...replies: HelloAnswer[]): Map<string, HelloAnswer> {
+  return new Map(replies.map((reply) => [reply.instance, reply]));
 }
 
-function empty(instance: string): HelloAnswer {
+function withoutCluster(instance: string): HelloAnswer {
   return { instance, memberId: `${instance}#1`, cluster: undefined };
 }
 
-describe('bootstrap', () => {
-  test(title('only the first member forms the cluster, and only when all have answered'), (t) => {
-    const all = answers(empty('a'), empty('b'), empty('c'));
+describe('planBootstrap', () => {
+  test(title('only the first member forms the cluster, and only when all have replied'), (t) => {
+    const all = repliesByInstance(withoutCluster('a'), withoutCluster('b'), withoutCluster('c'));
     t.deepEqual(planBootstrap({ instance: 'a', bootstrapMembers, answers: all }), {
       action: 'form',
       members: ['a#1', 'b#1', 'c#1'],
     });
     t.is(planBootstrap({ instance: 'b', bootstrapMembers, answers: all }).action, 'wait');
     t.is(
-      planBootstrap({ instance: 'a', bootstrapMembers, answers: answers(empty('a'), empty('b')) })
-        .action,
+      planBootstrap({
+        instance: 'a',
+        bootstrapMembers,
+        answers: repliesByInstance(withoutCluster('a'), withoutCluster('b')),
+      }).action,
       'wait',
     );
   });
 
-  test(title('an instance that came back empty joins the cluster that any other knows of'), (t) => {
-    const cluster = newCluster(['a#1', 'b#1', 'c#1'], { jobGroupCount: 2, voterCount: 3 });
-    const known = answers({ ...empty('a'), memberId: 'a#2' }, { ...empty('c'), cluster });
-    t.deepEqual(planBootstrap({ instance: 'a', bootstrapMembers, answers: known }), {
-      action: 'join',
-      cluster,
-    });
-  });
+  test(
+    title('an instance that lost its data joins the cluster that any other instance knows'),
+    (t) => {
+      const cluster = createCluster(['a#1', 'b#1', 'c#1'], { jobGroupCount: 2, voterCount: 3 });
+      const known = repliesByInstance(
+        { ...withoutCluster('a'), memberId: 'a#2' },
+        { ...withoutCluster('c'), cluster },
+      );
+      t.deepEqual(planBootstrap({ instance: 'a', bootstrapMembers, answers: known }), {
+        action: 'join',
+        cluster,
+      });
+    },
+  );
 });
 
-describe('member statuses', () => {
-  test(title('a member that is gone stays silent for a leader that has just been elected'), (t) => {
+describe('memberStatuses', () => {
+  test(title('a lost member counts as unresponsive for a newly elected leader, too'), (t) => {
     const progress = new Map([
-      ['gone#1', { matchIndex: 5, silentMs: 10 }],
-      ['stuck#1', { matchIndex: 5, silentMs: 9000 }],
-      ['sound#1', { matchIndex: 8, silentMs: 20 }],
+      ['lost#1', { matchIndex: 5, silentMs: 10 }],
+      ['lagging#1', { matchIndex: 5, silentMs: 9000 }],
+      ['healthy#1', { matchIndex: 8, silentMs: 20 }],
     ]);
-    const unheard = new Map([
-      ['gone#1', 6000],
-      ['stuck#1', 100],
-      ['sound#1', 100],
+    const lastSeenAgoMs = new Map([
+      ['lost#1', 6000],
+      ['lagging#1', 100],
+      ['healthy#1', 100],
     ]);
-    const statuses = memberStatuses(progress, 8, (memberId) => unheard.get(memberId) ?? 0);
+    const statuses = memberStatuses(progress, 8, (memberId) => lastSeenAgoMs.get(memberId) ?? 0);
     t.deepEqual(
       [...statuses.values()].map(({ silentMs, lagEntries }) => [silentMs, lagEntries]),
       [
--- a/packages/control/src/group-host.ts
+++ b/packages/control/src/group-host.ts
@@ -1,5 +1,5 @@
 /**
- * Runs one member of one group: carries out what the consensus core asks for.
+ * Drives one member of one group: syncs, sends and applies what {@link Consensus} requests.
  */
 import { pack, unpack } from 'msgpackr';
 import { instanceOf } from '@shedline/consensus';
@@ -16,7 +16,7 @@
 import type { ItemFiles, Storage, StoredSnapshot } from '@shedline/storage';
 import type { GroupStateMachine, StateFile } from './state-machine.js';
 
-/** Entries kept in memory behind a snapshot, for followers that are a little behind. */
+/** Entries before a snapshot that stay in memory for followers that lag slightly. */
 const TRAILING_ENTRIES = 1000;
 const MAX_ENTRIES_BEFORE_SNAPSHOT = 50_000;
 
@@ -28,48 +28,48 @@
   readonly storage: Storage;
   readonly itemFiles: ItemFiles;
   readonly logger: Logger;
-  /** Index up to which the machine already stands. */
+  /** Index of the last entry that the state machine has applied. */
   readonly appliedIndex: number;
   readonly snapshotAfterBytes: number;
   readonly send: (group: number, message: ConsensusMessage) => void;
   readonly offerSnapshot: (group: number, memberId: string) => void;
-  readonly onRoleChange: (host: GroupHost, leading: boolean) => void;
+  readonly onRoleChange: (host: GroupHost, isLeading: boolean) => void;
 }
 
-interface WaitingProposal {
+interface PendingProposal {
   readonly term: number;
-  readonly resolve: (answer: unknown) => void;
+  readonly resolve: (result: unknown) => void;
   readonly reject: (error: ShedlineError) => void;
 }
 
-interface WaitingRead {
+interface PendingRead {
   readonly resolve: () => void;
   readonly reject: (error: ShedlineError) => void;
 }
 
-/** What another instance copies to catch up. */
+/** Snapshot and files that another instance copies to catch up. */
 export interface SnapshotManifest {
   readonly snapshot: StoredSnapshot;
   readonly files: readonly StateFile[];
 }
 
-/** One member of one group with its state machine. */
+/** Member of a group with its state machine. */
 export class GroupHost {
   readonly group: number;
   readonly consensus: Consensus;
   readonly machine: GroupStateMachine;
   private readonly options: GroupHostOptions;
   private applied: number;
-  private pumping = false;
-  private snapshotting = false;
-  private closed = false;
+  private isPumping = false;
+  private isTakingSnapshot = false;
+  private isClosed = false;
   private leading = false;
   private bytesSinceSnapshot = 0;
   private snapshotIndex: number;
   private nextReadId = 1;
-  private readonly proposals = new Map<number, WaitingProposal>();
-  private readonly reads = new Map<number, WaitingRead>();
-  private readsAtIndex: { readonly index: number; readonly readId: number }[] = [];
+  private readonly proposals = new Map<number, PendingProposal>();
+  private readonly reads = new Map<number, PendingRead>();
+  private readsAwaitingApply: { readonly index: number; readonly readId: number }[] = [];
 
   constructor(options: GroupHostOptions) {
     this.options = options;
@@ -80,29 +80,29 @@
     this.snapshotIndex = options.appliedIndex;
   }
 
-  /** Index up to which the machine stands. */
+  /** Index of the last entry that the state machine has applied. */
   get appliedIndex(): number {
     return this.applied;
   }
 
-  /** Whether this member leads and says so to its owner. */
+  /** Whether this member is leader, as last reported through `onRoleChange`. */
   get isLeading(): boolean {
     return this.leading;
   }
 
-  /** Lets time pass. */
+  /** Advances the time of the consensus member. */
   tick(nowMs: number): void {
     this.consensus.tick(nowMs);
     this.pump();
   }
 
-  /** Takes a message from another member. */
+  /** Handles a message from another member. */
   receive(message: ConsensusMessage, nowMs: number): void {
     this.consensus.receive(message, nowMs);
     this.pump();
   }
 
-  /** Proposes a command; resolves with its answer once it is committed and applied. */
+  /** Proposes a command; resolves with its result once it is committed and applied. */
   propose(command: unknown): Promise<unknown> {
     return new Promise((resolve, reject) => {
       const outcome = this.consensus.propose(pack(command));
@@ -115,13 +115,13 @@
     });
   }
 
-  /** Answers a query as of a moment after it was asked. */
+  /** Runs a linearizable query; its result includes all commands acknowledged before the call. */
   async query(query: Query): Promise<unknown> {
     await this.confirmLeadership();
     return this.machine.query?.(query, Date.now());
   }
 
-  /** Resolves once a quorum has confirmed this leader and its state is current. */
+  /** Resolves once a quorum has confirmed this leader and the state is up to date. */
   confirmLeadership(): Promise<void> {
     return new Promise((resolve, reject) => {
       const readId = this.nextReadId;
@@ -135,24 +135,24 @@
     });
   }
 
-  /** Proposes a membership change. */
+  /** Proposes a membership change; returns whether it was appended to the log. */
   changeMembers(config: GroupConfig): boolean {
     const accepted = this.consensus.proposeConfig(config);
     this.pump();
     return accepted;
   }
 
-  /** Hands the leadership over, for a planned stop or to spread leaders. */
+  /** Starts a leadership transfer to the most up-to-date voter, for a planned stop. */
   transferLeadership(nowMs: number): void {
     this.consensus.transferLeadership(nowMs);
     this.pump();
   }
 
-  /** What a member that is far behind has to copy. Makes a snapshot if there is none. */
+  /** Returns what a lagging member has to copy; takes a snapshot if there is no recent snapshot. */
   async manifest(): Promise<SnapshotManifest> {
     let snapshot = await this.options.storage.readSnapshot(this.group);
-    const usable = snapshot !== undefined && snapshot.position.index >= this.firstHeldIndex();
-    if (!usable) {
+    const isUsable = snapshot !== undefined && snapshot.position.index >= this.firstRetainedIndex();
+    if (!isUsable) {
       await this.takeSnapshot();
       snapshot = await this.options.storage.readSnapshot(this.group);
     }
@@ -160,7 +160,7 @@
     return { snapshot, files: this.machine.fileSizes() };
   }
 
-  /** Takes over a copied snapshot whose files are synced. */
+  /** Installs a copied snapshot whose files are synced; returns false if it is outdated. */
   async install(manifest: SnapshotManifest, leaderId: string): Promise<boolean> {
     const { position, state } = manifest.snapshot;
     if (position.index <= this.applied) return false;
@@ -174,10 +174,10 @@
     return true;
   }
 
-  /** Stores the state, so that the log before it can go. */
+  /** Stores a snapshot of the state, so that older log entries can be removed. */
   async takeSnapshot(): Promise<void> {
-    if (this.snapshotting || this.applied <= this.snapshotIndex) return;
-    this.snapshotting = true;
+    if (this.isTakingSnapshot || this.applied <= this.snapshotIndex) return;
+    this.isTakingSnapshot = true;
     const index = this.applied;
     const term = this.consensus.termAt(index);
     if (term !== undefined) {
@@ -186,13 +186,13 @@
       this.bytesSinceSnapshot = 0;
       await this.saveSnapshot(position, state);
     }
-    this.snapshotting = false;
+    this.isTakingSnapshot = false;
   }
 
-  /** Ends; what waits is refused. */
+  /** Stops the member; rejects pending proposals and reads. */
   close(): void {
-    this.closed = true;
-    this.rejectAll('the instance stops');
+    this.isClosed = true;
+    this.rejectAll('the instance is stopping');
   }
 
   private async saveSnapshot(
@@ -210,34 +210,34 @@
     }
   }
 
-  private firstHeldIndex(): number {
+  private firstRetainedIndex(): number {
     return this.applied - TRAILING_ENTRIES;
   }
 
   private pump(): void {
-    if (this.pumping || this.closed) return;
-    this.pumping = true;
+    if (this.isPumping || this.isClosed) return;
+    this.isPumping = true;
     void this.pumpLoop();
   }
 
   private async pumpLoop(): Promise<void> {
     for (;;) {
       const ready = this.consensus.takeReady();
-      this.noteRole();
+      this.updateRole();
       if (isEmpty(ready)) {
-        // Cleared in the same turn: an event that comes now must start a loop of its own.
-        this.pumping = false;
+        // Cleared before any await, so that the next event starts a new loop.
+        this.isPumping = false;
         return;
       }
       for (const message of ready.earlyMessages) this.options.send(this.group, message);
       for (const memberId of ready.snapshotsTo) this.options.offerSnapshot(this.group, memberId);
       this.applyAll(ready.committed);
-      this.takeReads(ready);
+      this.completeReads(ready);
       await this.persist(ready);
-      if (this.closed) return;
+      if (this.isClosed) return;
       for (const message of ready.messages) this.options.send(this.group, message);
       this.consensus.persisted(ready);
-      this.snapshotIfDue();
+      this.takeSnapshotIfDue();
     }
   }
 
@@ -247,77 +247,77 @@
     await this.options.storage.append({ group: this.group, hardState, entries });
   }
 
-  private noteRole(): void {
-    const leading = this.consensus.role === 'leader';
-    if (leading === this.leading) return;
-    this.leading = leading;
-    if (!leading) this.rejectAll('the leadership moved');
-    this.options.onRoleChange(this, leading);
+  private updateRole(): void {
+    const isLeading = this.consensus.role === 'leader';
+    if (isLeading === this.leading) return;
+    this.leading = isLeading;
+    if (!isLeading) this.rejectAll('the leadership changed');
+    this.options.onRoleChange(this, isLeading);
   }
 
   private applyAll(entries: readonly LogEntry[]): void {
-    for (const entry of entries) this.applyOne(entry);
-    const due = this.readsAtIndex.filter((read) => read.index <= this.applied);
-    this.readsAtIndex = this.readsAtIndex.filter((read) => read.index > this.applied);
-    for (const read of due) this.releaseRead(read.readId);
+    for (const entry of entries) this.applyEntry(entry);
+    const readyReads = this.readsAwaitingApply.filter((read) => read.index <= this.applied);
+    this.readsAwaitingApply = this.readsAwaitingApply.filter((read) => read.index > this.applied);
+    for (const read of readyReads) this.resolveRead(read.readId);
   }
 
-  private applyOne(entry: LogEntry): void {
+  private applyEntry(entry: LogEntry): void {
     this.applied = entry.index;
     this.bytesSinceSnapshot += entry.data.length;
-    const answer = entry.kind === 'command' ? this.applyCommand(entry) : undefined;
-    const waiting = this.proposals.get(entry.index);
-    if (waiting === undefined) return;
+    const result = entry.kind === 'command' ? this.applyCommand(entry) : undefined;
+    const pending = this.proposals.get(entry.index);
+    if (pending === undefined) return;
     this.proposals.delete(entry.index);
-    if (waiting.term === entry.term) waiting.resolve(answer);
-    else waiting.reject(this.outcomeUnknown('another leader took its place'));
+    if (pending.term === entry.term) pending.resolve(result);
+    else pending.reject(this.unknownOutcome('another leader replaced the entry'));
   }
 
   private applyCommand(entry: LogEntry): unknown {
     try {
       return this.machine.apply(unpack(entry.data), entry.index);
     } catch (error) {
-      // A damaged file is this replica's own trouble: going on would let it differ.
+      // Damaged storage affects only this replica: continuing would let it diverge.
       if (error instanceof ShedlineError) throw error;
       const message = error instanceof Error ? error.message : String(error);
-      this.options.logger.error('command refused', { group: this.group, step: 'apply', message });
+      this.options.logger.error('command failed', { group: this.group, step: 'apply', message });
       return { ok: false, reason: 'invalid', message };
     }
   }
 
-  private takeReads(ready: Ready): void {
+  private completeReads(ready: Ready): void {
     for (const read of ready.reads) {
-      if (read.index <= this.applied) this.releaseRead(read.readId);
-      else this.readsAtIndex.push(read);
+      if (read.index <= this.applied) this.resolveRead(read.readId);
+      else this.readsAwaitingApply.push(read);
     }
   }
 
-  private releaseRead(readId: number): void {
+  private resolveRead(readId: number): void {
     this.reads.get(readId)?.resolve();
     this.reads.delete(readId);
   }
 
-  private snapshotIfDue(): void {
-    const many = this.applied - this.snapshotIndex >= MAX_ENTRIES_BEFORE_SNAPSHOT;
-    if (many || this.bytesSinceSnapshot >= this.options.snapshotAfterBytes) {
+  private takeSnapshotIfDue(): void {
+    const hasManyEntries = this.applied - this.snapshotIndex >= MAX_ENTRIES_BEFORE_SNAPSHOT;
+    if (hasManyEntries || this.bytesSinceSnapshot >= this.options.snapshotAfterBytes) {
       void this.takeSnapshot();
     }
   }
 
   private rejectAll(reason: string): void {
-    for (const proposal of this.proposals.values()) proposal.reject(this.outcomeUnknown(reason));
+    for (const proposal of this.proposals.values()) proposal.reject(this.unknownOutcome(reason));
     this.proposals.clear();
     for (const read of this.reads.values()) {
       read.reject(this.notLeading('read', this.consensus.leaderId));
     }
     this.reads.clear();
-    this.readsAtIndex = [];
+    this.readsAwaitingApply = [];
   }
 
-  private outcomeUnknown(reason: string): ShedlineError {
+  private unknownOutcome(reason: string): ShedlineError {
     return new ShedlineError({
       type: 'unavailable',
-      message: `it is not known whether the command was accepted: ${reason}`,
+      message: `unknown whether the command was accepted: ${reason}`,
       step: 'propose',
       peer: `group ${this.group}`,
       ran: 'unknown',
--- a/packages/control/src/group-node.ts
+++ b/packages/control/src/group-node.ts
@@ -1,6 +1,6 @@
 /**
- * Hosts the members of the log groups of one process: storage, consensus, messages between
- * members, snapshots and repair. What the groups hold is up to its {@link GroupNodeRole}.
+ * Hosts the group members of one process: storage, consensus, messages between members, snapshots
+ * and membership changes. The {@link GroupNodeRole} defines the state of the groups.
  */
 import { setTimeout as pause } from 'node:timers/promises';
 import { closeSync, existsSync, fsyncSync, mkdirSync, openSync } from 'node:fs';
@@ -16,56 +16,56 @@
 import { GroupHost } from './group-host.js';
 import { initialConfig, loadCluster, loadMemberId, saveCluster } from './identity.js';
 import type { ClusterDocument } from './identity.js';
-import { repairMembers, spreadLeader } from './member-duties.js';
-import type { MemberDutiesOptions } from './member-duties.js';
-import { MemberMailbox, detached } from './member-mailbox.js';
-import type { ConsensusBatch } from './member-mailbox.js';
+import { repairMembers, transferToPreferredLeader } from './membership-tasks.js';
+import type { MembershipTaskOptions } from './membership-tasks.js';
+import { MessageBatcher, copyEntryData } from './message-batcher.js';
+import type { ConsensusBatch } from './message-batcher.js';
 import { PRESENCE_INTERVAL_MS, PeerPresence } from './peer-presence.js';
 import type { PresenceMessage } from './peer-presence.js';
 import { SnapshotExchange } from './snapshot-exchange.js';
 import type { GroupStateMachine } from './state-machine.js';
 
-/** Fine enough that members whose first election times differ do not vote in the same tick. */
+/** Short, so that members with different election timeouts do not campaign in the same tick. */
 const TICK_MS = 20;
-const DUTY_INTERVAL_MS = 250;
+const LEADER_TASK_INTERVAL_MS = 250;
 const HOUSEKEEP_INTERVAL_MS = 10_000;
-const SPREAD_INTERVAL_MS = 5000;
-const TRANSFER_WAIT_MS = 1500;
+const LEADER_BALANCE_INTERVAL_MS = 5000;
+const MAX_TRANSFER_WAIT_MS = 1500;
 const MAX_WAL_SEGMENTS = 6;
-/** Names of item files: nothing that leads out of their folder. */
+/** Valid names of item files; excludes paths that lead out of their folder. */
 const FILE_NAME = /^[a-zA-Z0-9][a-zA-Z0-9.-]*$/;
 
 /** Timings and sizes of the groups. */
 export interface GroupNodeSettings {
   readonly dataDir: string;
-  /** Voters wanted in each group. */
+  /** Target number of voters in each group. */
   readonly voterCount: number;
   readonly electionTimeoutMs: number;
-  /** Shortest time from the start to the first election; default: the election timeout. */
+  /** Minimum time from the start to the first election; defaults to the election timeout. */
   readonly firstElectionTimeoutMs?: number;
   readonly heartbeatIntervalMs: number;
-  /** Silence of a voter before it is replaced or dropped. */
+  /** Time after which an unresponsive voter is replaced or removed. */
   readonly replaceAfterMs: number;
-  /** Log bytes of a group after which it is snapshotted. */
+  /** Log bytes after which a group takes a snapshot. */
   readonly snapshotAfterBytes: number;
-  /** Size at which a new segment of the write-ahead log begins. Bytes. */
+  /** Size at which a new segment of the write-ahead log is started. */
   readonly maxSegmentBytes?: number;
 }
 
-/** What the groups of a process hold and do. */
+/** State machines and tasks of the groups of a process. */
 export interface GroupNodeRole {
-  /** Lowest number of a group of this cluster. */
+  /** Lowest group number of the cluster. */
   readonly firstGroup: number;
   createMachine(group: number, files: DiskItemFiles): GroupStateMachine;
-  /** Finds or forms the cluster; undefined where the process stops before. */
+  /** Finds or forms the cluster; resolves with undefined if the process stops first. */
   findCluster(hello: HelloAnswer): Promise<ClusterDocument | undefined>;
-  /** A member began or ceased to lead. */
+  /** Called when a member has gained or lost leadership. */
   roleChanged(host: GroupHost, memberId: string): void;
-  /** Duties of a leader; `intervalMs` is the time since the last call. */
+  /** Runs the frequent tasks of a leader; `intervalMs` is the time since the last call. */
   leaderTick(host: GroupHost, nowMs: number, intervalMs: number): void;
-  /** Whether a process is to be emptied: its members are replaced. */
+  /** Whether a process is retiring, so that its members are replaced. */
   isRetiring?(instance: string): boolean;
-  /** Duties of a leader that are due rarely. */
+  /** Runs the infrequent tasks of a leader. */
   housekeep(host: GroupHost): void;
 }
 
@@ -78,7 +78,7 @@
   readonly peers: PeerConnections;
   readonly logger: Logger;
   readonly random: () => number;
-  /** Monotonic milliseconds. */
+  /** Returns monotonic time in milliseconds. */
   readonly nowMs: () => number;
 }
 
@@ -89,19 +89,19 @@
   readonly sizeBytes: number;
 }
 
-/** The members of one process. */
+/** Group members of one process. */
 export class GroupNode {
   readonly hosts = new Map<number, GroupHost>();
   private readonly options: GroupNodeOptions;
   private readonly presence: PeerPresence;
-  private readonly mailbox: MemberMailbox;
+  private readonly messageBatcher: MessageBatcher;
   private readonly snapshots: SnapshotExchange;
   private readonly itemFiles = new Map<number, DiskItemFiles>();
   private recovered: ReadonlyMap<number, RecoveredGroup> = new Map();
   private storage: Storage | undefined;
   private releaseLock: ReleaseLock | undefined;
   private ownMemberId = '';
-  private document: ClusterDocument | undefined;
+  private clusterDocument: ClusterDocument | undefined;
   private timers: NodeJS.Timeout[] = [];
   private stopped = false;
 
@@ -110,7 +110,7 @@
     const { logger, nowMs, peers } = options;
     const peer = (instance: string) => peers.get(instance);
     this.presence = new PeerPresence({ peers, logger, nowMs });
-    this.mailbox = new MemberMailbox(peer);
+    this.messageBatcher = new MessageBatcher(peer);
     this.snapshots = new SnapshotExchange({
       logger,
       nowMs,
@@ -121,44 +121,44 @@
     });
   }
 
-  /** Identity of this process and its data folder. */
+  /** Member id of this process, `instance#incarnation`; empty before {@link GroupNode.open}. */
   get memberId(): string {
     return this.ownMemberId;
   }
 
-  /** The cluster that this process belongs to; undefined while there is none. */
+  /** Cluster of this process; undefined before it has joined and after it has stopped. */
   get cluster(): ClusterDocument | undefined {
-    return this.stopped ? undefined : this.document;
+    return this.stopped ? undefined : this.clusterDocument;
   }
 
-  /** Whether the process has begun to stop. */
+  /** Whether the process is stopping or has stopped. */
   get isStopped(): boolean {
     return this.stopped;
   }
 
-  /** Why writes do not pass at present; empty where they do. */
+  /** Error message of the failing disk writes; empty if writes succeed. */
   get diskFailure(): string {
-    return this.storage?.health?.message ?? '';
+    return this.storage?.diskFailure?.message ?? '';
   }
 
-  /** Syncs since the start. */
+  /** Number of syncs since the start. */
   get syncCount(): number {
     return this.storage?.counters.syncs ?? 0;
   }
 
-  /** Opens the data folder and learns who this process is. */
+  /** Locks and opens the data folder and loads the member id and the cluster. */
   async open(): Promise<void> {
     const { settings, name } = this.options;
     const files = new NodeFileSystem(settings.dataDir);
     await files.prepare();
     this.releaseLock = await lockFolder(settings.dataDir, () => {
-      const reason = 'this system has no sockets for it';
+      const reason = 'abstract sockets are not supported on this system';
       this.options.logger.warn('data folder not locked', { step: 'lock data folder', reason });
     });
     const storage = await Storage.open({
       files,
-      onHealth: (failure) => {
-        this.noteDisk(failure);
+      onHealthChange: (failure) => {
+        this.logDiskHealth(failure);
       },
       ...(settings.maxSegmentBytes === undefined
         ? {}
@@ -166,37 +166,37 @@
     });
     this.storage = storage;
     this.ownMemberId = await loadMemberId(storage, name);
-    this.document = await loadCluster(storage);
+    this.clusterDocument = await loadCluster(storage);
     this.recovered = storage.takeRecovered();
   }
 
-  /** Finds or forms the cluster and starts the groups; call after {@link open}. */
+  /** Finds or forms the cluster and starts the groups. Call after {@link GroupNode.open}. */
   async join(): Promise<void> {
     const { storage } = this;
     if (storage === undefined) return;
-    if (this.document === undefined) {
+    if (this.clusterDocument === undefined) {
       const found = await this.options.role.findCluster(this.hello());
       if (found === undefined) return;
       await saveCluster(storage, found);
-      this.document = found;
+      this.clusterDocument = found;
     }
-    this.presence.joined();
-    this.openGroups(this.document);
+    this.presence.recordJoin();
+    this.openGroups(this.clusterDocument);
     this.startTimers();
-    this.options.logger.info('groups open', { memberId: this.ownMemberId, step: 'start' });
+    this.options.logger.info('groups opened', { memberId: this.ownMemberId, step: 'start' });
   }
 
-  /** Hands leaderships over, then stops. */
+  /** Transfers leadership to other members, then stops. */
   async stop(): Promise<void> {
-    // Still answering its peers: a transfer needs their replies.
-    await this.handOver();
+    // The groups still run here, because a transfer needs the replies of the peers.
+    await this.transferLeaderships();
     this.kill();
     await this.storage?.close();
     await this.releaseLock?.();
     for (const files of this.itemFiles.values()) files.closeAll();
   }
 
-  /** Ends at once, as a lost instance would; what is synced stays. */
+  /** Stops immediately, as in a crash; synced data stays on disk. */
   kill(): void {
     this.stopped = true;
     for (const timer of this.timers) clearInterval(timer);
@@ -204,7 +204,7 @@
     for (const host of this.hosts.values()) host.close();
   }
 
-  /** State of the groups here. */
+  /** Returns the status of the groups of this process. */
   groupStatuses(): GroupStatus[] {
     return [...this.hosts.values()].map((host) => ({
       group: host.group,
@@ -219,18 +219,18 @@
     }));
   }
 
-  /** What this process says to one that looks for a cluster. */
+  /** Returns the reply to a process that is looking for its cluster. */
   hello(): HelloAnswer {
     const { name } = this.options;
-    return { instance: name, memberId: this.ownMemberId, cluster: this.document };
+    return { instance: name, memberId: this.ownMemberId, cluster: this.clusterDocument };
   }
 
-  /** Groups that this process leads. */
+  /** Returns the groups that this process leads. */
   leading(): GroupHost[] {
     return [...this.hosts.values()].filter((host) => host.isLeading);
   }
 
-  /** Files of a group. */
+  /** Returns the item files of a group; creates their folder if needed. */
   filesOf(group: number): DiskItemFiles {
     const known = this.itemFiles.get(group);
     if (known !== undefined) return known;
@@ -244,12 +244,12 @@
     return files;
   }
 
-  /** Takes a one-way message of a peer; false where it is not about the groups. */
+  /** Handles a one-way message of a peer; returns false if the method does not concern groups. */
   onMessage(method: string, payload: unknown): boolean {
     if (this.stopped) return true;
     switch (method) {
       case 'presence':
-        this.presence.receive(payload as PresenceMessage, this.document?.clusterId);
+        this.presence.receive(payload as PresenceMessage, this.clusterDocument?.clusterId);
         return true;
       case 'consensus':
         this.onConsensus(payload as ConsensusBatch);
@@ -261,7 +261,7 @@
       }
       case 'snapshotDone': {
         const { group, memberId } = payload as { group: number; memberId: string };
-        this.snapshots.done(group, memberId);
+        this.snapshots.finish(group, memberId);
         return true;
       }
       default:
@@ -269,17 +269,17 @@
     }
   }
 
-  /** Answers a request about the groups; undefined where the method is none of these. */
+  /** Handles a request of a peer; returns undefined if the method does not concern groups. */
   answer(method: string, payload: unknown): Promise<unknown> | undefined {
     if (method === 'hello') return Promise.resolve(this.hello());
     if (method === 'manifest') {
       return this.hosts.get((payload as { group: number }).group)?.manifest();
     }
-    if (method === 'chunk') return this.chunk(payload as ChunkRequest);
+    if (method === 'chunk') return this.readChunk(payload as ChunkRequest);
     return undefined;
   }
 
-  /** Runs work whose failure only means that it comes again. */
+  /** Runs work that is repeated anyway after a failure; logs the failure. */
   inBackground(work: Promise<unknown>): void {
     work.catch((error: unknown) => {
       if (this.stopped) return;
@@ -288,14 +288,19 @@
     });
   }
 
-  private chunk({ group, file, offset, sizeBytes }: ChunkRequest): Promise<unknown> | undefined {
+  private readChunk({
+    group,
+    file,
+    offset,
+    sizeBytes,
+  }: ChunkRequest): Promise<unknown> | undefined {
     if (!this.hosts.has(group) || !FILE_NAME.test(file)) return undefined;
     return Promise.resolve(this.filesOf(group).readRaw(file, offset, sizeBytes));
   }
 
-  private noteDisk(failure: ShedlineError | undefined): void {
+  private logDiskHealth(failure: ShedlineError | undefined): void {
     const { logger } = this.options;
-    if (failure === undefined) logger.info('disk takes writes again', { step: 'sync' });
+    if (failure === undefined) logger.info('disk accepts writes again', { step: 'sync' });
     else logger.error('disk refuses writes', { step: 'sync', reason: failure.message });
   }
 
@@ -303,17 +308,17 @@
     const { firstGroup } = this.options.role;
     for (let group = firstGroup; group <= cluster.jobGroupCount; group += 1) {
       const config = initialConfig(cluster, group, this.ownMemberId);
-      const known = this.recovered.has(group) || config.voters.includes(this.ownMemberId);
-      if (known) this.openGroup(group);
+      const isMember = this.recovered.has(group) || config.voters.includes(this.ownMemberId);
+      if (isMember) this.openGroup(group);
     }
   }
 
-  /** Opens a group from what is synced, or empty where the instance joins it. */
+  /** Opens a group from its synced state, or empty if the instance is joining the group. */
   private openGroup(group: number): GroupHost | undefined {
-    const { document, storage } = this;
+    const { clusterDocument, storage } = this;
     const { role, settings, logger, random, nowMs } = this.options;
-    if (document === undefined || storage === undefined || this.stopped) return undefined;
-    if (group < role.firstGroup || group > document.jobGroupCount) return undefined;
+    if (clusterDocument === undefined || storage === undefined || this.stopped) return undefined;
+    if (group < role.firstGroup || group > clusterDocument.jobGroupCount) return undefined;
     const recovered = this.recovered.get(group);
     const snapshot = recovered?.snapshot;
     const machine = role.createMachine(group, this.filesOf(group));
@@ -321,7 +326,7 @@
     if (hasSnapshot) machine.restore(snapshot.state);
     const position = hasSnapshot
       ? snapshot.position
-      : { index: 0, term: 0, config: initialConfig(document, group, this.ownMemberId) };
+      : { index: 0, term: 0, config: initialConfig(clusterDocument, group, this.ownMemberId) };
     const consensus = new Consensus({
       memberId: this.ownMemberId,
       random,
@@ -345,13 +350,13 @@
       appliedIndex: position.index,
       snapshotAfterBytes: settings.snapshotAfterBytes,
       send: (from, message) => {
-        this.mailbox.add(from, message);
+        this.messageBatcher.add(from, message);
       },
       offerSnapshot: (from, memberId) => {
         this.snapshots.offer(from, memberId, this.ownMemberId);
       },
-      onRoleChange: (changed, leading) => {
-        this.onRoleChange(changed, leading);
+      onRoleChange: (changed, isLeading) => {
+        this.onRoleChange(changed, isLeading);
       },
     });
     this.hosts.set(group, host);
@@ -365,14 +370,15 @@
     this.every(PRESENCE_INTERVAL_MS, () => {
       this.announcePresence();
     });
-    this.every(DUTY_INTERVAL_MS, () => {
-      this.leaderDuties();
+    this.every(LEADER_TASK_INTERVAL_MS, () => {
+      this.runLeaderTasks();
     });
     this.every(HOUSEKEEP_INTERVAL_MS, () => {
       for (const host of this.leading()) this.options.role.housekeep(host);
     });
-    this.every(SPREAD_INTERVAL_MS, () => {
-      for (const host of this.leading()) spreadLeader(this.dutiesOf(host), this.options.nowMs());
+    this.every(LEADER_BALANCE_INTERVAL_MS, () => {
+      for (const host of this.leading())
+        transferToPreferredLeader(this.membershipOptionsOf(host), this.options.nowMs());
     });
     this.announcePresence();
   }
@@ -387,59 +393,59 @@
   }
 
   private announcePresence(): void {
-    const { ownMemberId: memberId, document } = this;
+    const { ownMemberId: memberId, clusterDocument } = this;
     this.presence.announce({
       instance: this.options.name,
       memberId,
-      clusterId: document?.clusterId,
+      clusterId: clusterDocument?.clusterId,
     });
   }
 
-  private leaderDuties(): void {
+  private runLeaderTasks(): void {
     const nowMs = this.options.nowMs();
     for (const host of this.leading()) {
-      const duties = this.dutiesOf(host);
-      repairMembers(duties);
-      // A leader never removes itself: another one has to.
-      if (duties.retiringIds.has(this.ownMemberId)) host.transferLeadership(nowMs);
-      this.options.role.leaderTick(host, nowMs, DUTY_INTERVAL_MS);
+      const membershipOptions = this.membershipOptionsOf(host);
+      repairMembers(membershipOptions);
+      // A leader never removes itself, so another member has to lead.
+      if (membershipOptions.retiringIds.has(this.ownMemberId)) host.transferLeadership(nowMs);
+      this.options.role.leaderTick(host, nowMs, LEADER_TASK_INTERVAL_MS);
     }
-    this.relieveWal();
+    this.snapshotGroupsRetainingWal();
   }
 
-  private dutiesOf(host: GroupHost): MemberDutiesOptions {
+  private membershipOptionsOf(host: GroupHost): MembershipTaskOptions {
     const { settings, logger, role } = this.options;
     const { liveIds } = this.presence;
     const { voters, learners } = host.consensus.config;
-    const known = new Set([...voters, ...learners, ...liveIds]);
-    const retiring = [...known].filter((id) => role.isRetiring?.(instanceOf(id)) === true);
+    const candidates = new Set([...voters, ...learners, ...liveIds]);
+    const retiring = [...candidates].filter((id) => role.isRetiring?.(instanceOf(id)) === true);
     const retiringIds = new Set(retiring);
-    const unheardMs = (id: string): number => this.presence.unheardMs(instanceOf(id), id);
+    const lastSeenAgoMs = (id: string): number => this.presence.lastSeenAgoMs(instanceOf(id), id);
     const { ownMemberId: memberId } = this;
-    return { host, memberId, liveIds, settings, logger, retiringIds, unheardMs };
+    return { host, memberId, liveIds, settings, logger, retiringIds, lastSeenAgoMs };
   }
 
-  private relieveWal(): void {
+  private snapshotGroupsRetainingWal(): void {
     const storage = this.storage;
     if (storage === undefined || storage.segmentCount <= MAX_WAL_SEGMENTS) return;
-    for (const group of storage.groupsHoldingOldest()) {
+    for (const group of storage.groupsRetainingOldestSegment()) {
       this.inBackground(this.hosts.get(group)?.takeSnapshot() ?? Promise.resolve());
     }
   }
 
-  private async handOver(): Promise<void> {
+  private async transferLeaderships(): Promise<void> {
     const { nowMs } = this.options;
-    const others = this.leading().filter((host) => host.consensus.config.voters.length > 1);
-    for (const host of others) host.transferLeadership(nowMs());
-    const deadlineMs = nowMs() + TRANSFER_WAIT_MS;
-    while (others.some((host) => host.isLeading) && nowMs() < deadlineMs) {
+    const transferable = this.leading().filter((host) => host.consensus.config.voters.length > 1);
+    for (const host of transferable) host.transferLeadership(nowMs());
+    const deadlineMs = nowMs() + MAX_TRANSFER_WAIT_MS;
+    while (transferable.some((host) => host.isLeading) && nowMs() < deadlineMs) {
       await pause(TICK_MS);
     }
   }
 
-  private onRoleChange(host: GroupHost, leading: boolean): void {
+  private onRoleChange(host: GroupHost, isLeading: boolean): void {
     const { group, consensus } = host;
-    this.options.logger.info(leading ? 'leads group' : 'follows in group', {
+    this.options.logger.info(isLeading ? 'leads group' : 'lost leadership of group', {
       group,
       term: consensus.currentTerm,
       step: 'election',
@@ -452,12 +458,12 @@
     for (const [group, message] of batch) {
       if (message.to !== this.ownMemberId) continue;
       const host = this.hosts.get(group) ?? this.openGroup(group);
-      host?.receive(detached(message), nowMs);
+      host?.receive(copyEntryData(message), nowMs);
     }
   }
 }
 
-/** Makes the names in a folder last over a power loss. */
+/** Syncs a folder, so that new names in it survive a power loss. */
 function syncFolder(folder: string): void {
   const descriptor = openSync(folder, 'r');
   try {
--- a/packages/control/src/identity.ts
+++ b/packages/control/src/identity.ts
@@ -1,5 +1,5 @@
 /**
- * Who this instance is, and of which cluster. Both are synced before they count.
+ * Member id and cluster of this instance. Both are synced to disk before they are used.
  */
 import { randomBytes } from 'node:crypto';
 import type { GroupConfig } from '@shedline/consensus';
@@ -10,16 +10,16 @@
 const CLUSTER_DOCUMENT = 'cluster.bin';
 const INCARNATION_BYTES = 4;
 
-/** A cluster as it was formed. */
+/** Cluster as it was formed; stored by every member. */
 export interface ClusterDocument {
   readonly clusterId: string;
-  /** Identities of the instances that formed it. */
+  /** Member ids of the instances that formed the cluster. */
   readonly initialMembers: readonly string[];
   readonly jobGroupCount: number;
   readonly voterCount: number;
 }
 
-/** The identity of this instance: its name and the incarnation of its data folder. */
+/** Loads the member id: instance name and incarnation of the data folder. Creates it if new. */
 export async function loadMemberId(storage: Storage, instance: string): Promise<string> {
   const stored = (await storage.readDocument(IDENTITY_DOCUMENT)) as
     { memberId: string } | undefined;
@@ -29,28 +29,28 @@
   return memberId;
 }
 
-/** The cluster that this data folder belongs to; undefined for a new folder. */
+/** Loads the cluster of the data folder; undefined for a new folder. */
 export async function loadCluster(storage: Storage): Promise<ClusterDocument | undefined> {
   return (await storage.readDocument(CLUSTER_DOCUMENT)) as ClusterDocument | undefined;
 }
 
-/** Makes the data folder part of a cluster. */
+/** Stores the cluster of the data folder. */
 export async function saveCluster(storage: Storage, cluster: ClusterDocument): Promise<void> {
   await storage.writeDocument(CLUSTER_DOCUMENT, cluster);
 }
 
-/** First voters of a group: the same at every member that formed the cluster. */
+/** Returns the initial voters of a group; every member computes the same voters. */
 export function initialVoters(cluster: ClusterDocument, group: number): readonly string[] {
   return rendezvousOrder(`voters|${group}`, cluster.initialMembers, cluster.voterCount).sort();
 }
 
-/** The configuration that a member starts a group with. */
+/** Returns the configuration with which a member starts a group. */
 export function initialConfig(
   cluster: ClusterDocument,
   group: number,
   memberId: string,
 ): GroupConfig {
-  // A member that joined later learns the configuration from the log or a snapshot.
+  // A member that joined later receives the configuration with the log or a snapshot.
   if (!cluster.initialMembers.includes(memberId)) return { voters: [], learners: [] };
   return { voters: initialVoters(cluster, group), learners: [] };
 }
--- a/packages/control/src/index.ts
+++ b/packages/control/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * The control daemon as a library.
+ * Control node and its building blocks, as a library.
  */
 export * from './control-node.js';
 export * from './bootstrap.js';
--- a/packages/control/src/member-duties.ts
+++ b/packages/control/src/membership-tasks.ts
@@ -1,5 +1,5 @@
 /**
- * What a leader does about the members of its group: repair, and spreading the leaders.
+ * Tasks of a leader for the members of its group: replacing lost members and balancing leadership.
  */
 import { planMembership } from '@shedline/consensus';
 import type { GroupConfig, MemberStatus } from '@shedline/consensus';
@@ -8,65 +8,66 @@
 import type { GroupHost } from './group-host.js';
 import type { GroupNodeSettings } from './group-node.js';
 
-/** Options of {@link repairMembers} and {@link spreadLeader}. */
-export interface MemberDutiesOptions {
+/** Options of {@link repairMembers} and {@link transferToPreferredLeader}. */
+export interface MembershipTaskOptions {
   readonly host: GroupHost;
   readonly memberId: string;
-  /** Identities of the control instances that are up. */
+  /** Member ids of the processes that are up. */
   readonly liveIds: readonly string[];
   readonly settings: GroupNodeSettings;
   readonly logger: Logger;
-  /** Members of processes that are to be emptied. */
+  /** Member ids of retiring processes. */
   readonly retiringIds: ReadonlySet<string>;
-  /** Time since this process last heard of a member, by whatever way. */
-  readonly unheardMs: (memberId: string) => number;
+  /** Returns the time since the last announcement of a member. */
+  readonly lastSeenAgoMs: (memberId: string) => number;
 }
 
-/** What a leader knows of how a member replicates. */
+/** Replication progress of a member, as seen by the leader. */
 export interface ReplicationProgress {
   readonly matchIndex: number;
-  /** Time since the member last answered this leader, from when it began to lead. */
+  /** Time since the last reply of the member, or since the leader was elected if none came. */
   readonly silentMs: number;
 }
 
 /**
- * Status of the members for the planner. A member is as silent as the longer of two times: since
- * it last answered this leader, and since this process last heard it at all. The second one does
- * not begin anew with each leader, so a member that is gone is not taken for fresh by one.
+ * Returns the status of the members for the planner. A member has been unresponsive for the longer
+ * of two times: since its last reply to this leader, and since its last announcement. The second
+ * time does not restart with each leader, so a new leader does not take a lost member for a
+ * responsive member.
  */
 export function memberStatuses(
   progress: ReadonlyMap<string, ReplicationProgress>,
   commitIndex: number,
-  unheardMs: (memberId: string) => number,
+  lastSeenAgoMs: (memberId: string) => number,
 ): Map<string, MemberStatus> {
   const statuses = new Map<string, MemberStatus>();
   for (const [memberId, { matchIndex, silentMs }] of progress) {
     statuses.set(memberId, {
       memberId,
-      silentMs: Math.max(silentMs, unheardMs(memberId)),
+      silentMs: Math.max(silentMs, lastSeenAgoMs(memberId)),
       lagEntries: commitIndex - matchIndex,
     });
   }
   return statuses;
 }
 
-/** Takes the next step of repair, if one is due. */
-export function repairMembers(options: MemberDutiesOptions): void {
+/** Proposes the next membership change, if one is needed. */
+export function repairMembers(options: MembershipTaskOptions): void {
   const { host, logger } = options;
-  const next = plannedMembers(options);
+  const next = planNextConfig(options);
   if (next === undefined || !host.changeMembers(next)) return;
   const { voters, learners } = next;
-  logger.info('members change', { group: host.group, voters, learners });
+  logger.info('membership change proposed', { group: host.group, voters, learners });
 }
 
-function plannedMembers(options: MemberDutiesOptions): GroupConfig | undefined {
+function planNextConfig(options: MembershipTaskOptions): GroupConfig | undefined {
   const { host, settings } = options;
   const { consensus } = host;
   const progress = consensus.memberProgress();
   return planMembership({
     config: consensus.config,
     selfId: options.memberId,
-    members: memberStatuses(progress, consensus.commitIndex, options.unheardMs),
+    members: memberStatuses(progress, consensus.commitIndex, options.lastSeenAgoMs),
     liveIds: options.liveIds,
     targetVoters: settings.voterCount,
     replaceAfterMs: settings.replaceAfterMs,
@@ -74,8 +75,8 @@
   });
 }
 
-/** Whether the members are as they should be: all voters up, nobody on the way in or out. */
-function isSettled(options: MemberDutiesOptions): boolean {
+/** Whether all voters are up, there are no learners, and no membership change is pending. */
+function isMembershipStable(options: MembershipTaskOptions): boolean {
   const { consensus } = options.host;
   const { voters, learners } = consensus.config;
   if (consensus.configChangePending || learners.length > 0) return false;
@@ -83,12 +84,13 @@
 }
 
 /**
- * Hands the group to the voter that a hash prefers, so that leaders spread over the members. Not
- * while a repair is under way: a new leader would have to find out first what the old one knew.
+ * Transfers the leadership to the voter that a rendezvous hash prefers, to balance the leaders over
+ * the members. Does nothing during a repair, because a new leader would first have to collect the
+ * member status that the current leader has.
  */
-export function spreadLeader(options: MemberDutiesOptions, nowMs: number): void {
+export function transferToPreferredLeader(options: MembershipTaskOptions, nowMs: number): void {
   const { host, memberId } = options;
-  if (!isSettled(options)) return;
+  if (!isMembershipStable(options)) return;
   const voters = host.consensus.config.voters.filter((voter) => !options.retiringIds.has(voter));
   const preferred = rendezvousOrder(`leader|${host.group}`, voters, 1)[0];
   if (preferred === undefined || preferred === memberId) return;
--- a/packages/control/src/order-runner.ts
+++ b/packages/control/src/order-runner.ts
@@ -1,5 +1,5 @@
 /**
- * Carries out orders to endpoints while this instance leads the table group.
+ * Sends orders to endpoints while this instance leads the table group.
  */
 import { request } from 'undici';
 import type { Order, OrderAnswer, OrderCommand, OrderGate, Orders } from '@shedline/fencing';
@@ -10,46 +10,48 @@
   readonly gate: OrderGate;
   readonly orders: Orders;
   readonly propose: (command: OrderCommand) => Promise<OrderAnswer>;
-  readonly loadsAtOnce: number;
+  /** Maximum number of orders in progress. */
+  readonly maxConcurrentOrders: number;
   readonly orderTimeoutMs: number;
   readonly logger: Logger;
   readonly nowMs: () => number;
 }
 
-/** Sends waiting orders, one at a time for each endpoint. */
+/** Executes open orders, one at a time for each endpoint. */
 export class OrderRunner {
   private readonly options: OrderRunnerOptions;
-  private readonly underWay = new Map<string, string>();
+  /** Endpoint ids of the orders in progress, by order id. */
+  private readonly endpointIdsInProgress = new Map<string, string>();
 
   constructor(options: OrderRunnerOptions) {
     this.options = options;
   }
 
-  /** Looks for orders that may go out now. */
+  /** Starts the open orders that may be sent now. */
   tick(): void {
     for (const order of this.options.orders.open) {
-      if (this.mayStart(order)) void this.carryOut(order);
+      if (this.mayStart(order)) void this.execute(order);
     }
   }
 
   private mayStart(order: Order): boolean {
-    const { gate, loadsAtOnce, nowMs } = this.options;
-    if (this.underWay.has(order.orderId)) return false;
-    if ([...this.underWay.values()].includes(order.endpointId)) return false;
-    if (this.underWay.size >= loadsAtOnce) return false;
-    return gate.mayOrder(nowMs(), order.checksFencing);
+    const { gate, maxConcurrentOrders, nowMs } = this.options;
+    if (this.endpointIdsInProgress.has(order.orderId)) return false;
+    if ([...this.endpointIdsInProgress.values()].includes(order.endpointId)) return false;
+    if (this.endpointIdsInProgress.size >= maxConcurrentOrders) return false;
+    return gate.maySendOrder(nowMs(), order.checksFencing);
   }
 
-  private async carryOut(order: Order): Promise<void> {
-    this.underWay.set(order.orderId, order.endpointId);
+  private async execute(order: Order): Promise<void> {
+    this.endpointIdsInProgress.set(order.orderId, order.endpointId);
     try {
       await this.sendOnce(order);
     } catch (error) {
       const reason = error instanceof Error ? error.message : String(error);
       const { orderId, endpointId } = order;
-      this.options.logger.warn('order not carried out', { orderId, peer: endpointId, reason });
+      this.options.logger.warn('order failed', { orderId, peer: endpointId, reason });
     } finally {
-      this.underWay.delete(order.orderId);
+      this.endpointIdsInProgress.delete(order.orderId);
     }
   }
 
@@ -57,15 +59,15 @@
     const { gate, propose, nowMs } = this.options;
     const { orderId } = order;
     const fencingNumber = gate.fencingNumber;
-    const noted = await propose({
+    const recorded = await propose({
       type: 'moveOrder',
       orderId,
       fencingNumber,
       state: 'sent',
       detail: '',
     });
-    // The lease may have run out while the log was written.
-    if (!noted.ok || !gate.mayOrder(nowMs(), order.checksFencing)) return;
+    // The lease may have expired while the log was written.
+    if (!recorded.ok || !gate.maySendOrder(nowMs(), order.checksFencing)) return;
     const { state, detail } = await this.post(order, fencingNumber);
     await propose({ type: 'moveOrder', orderId, fencingNumber, state, detail });
   }
@@ -85,7 +87,7 @@
       const detail = await response.body.text();
       return { state: response.statusCode < 300 ? 'done' : 'failed', detail };
     } catch (error) {
-      // The endpoint knows the order by its id, so that asking again repeats nothing.
+      // Retrying is safe: the endpoint recognises the order by its id and does not repeat it.
       return { state: 'waiting', detail: error instanceof Error ? error.message : String(error) };
     }
   }
--- a/packages/control/src/partition.test.ts
+++ b/packages/control/src/partition.test.ts
@@ -13,8 +13,8 @@
 const NAMES = ['a', 'b', 'c'];
 const HOST = '127.0.0.1';
 
-/** Three control instances whose connections can be cut. */
-class Trio {
+/** Three control nodes that can be partitioned from each other. */
+class ThreeNodeCluster {
   readonly nodes = new Map<string, ControlNode>();
   private readonly relays = new Map<string, CuttableRelay>();
   private folder = '';
@@ -52,10 +52,10 @@
     return leading[0]?.[0] ?? '';
   }
 
-  /** Cuts an instance off from the others without a word, or lets it back. */
-  cutOff(name: string, isCut: boolean): void {
+  /** Partitions a node from the majorityClient without closing connections, or reconnects it. */
+  setPartitioned(name: string, isPartitioned: boolean): void {
     for (const [link, relay] of this.relays) {
-      if (link.split('>').includes(name)) relay.cut(isCut);
+      if (link.split('>').includes(name)) relay.cut(isPartitioned);
     }
   }
 
@@ -109,40 +109,39 @@
   });
 }
 
-describe('a control instance that is cut off without a word', () => {
+describe('a control node in a network partition', () => {
   test(
-    title(
-      'accepts nothing, answers nothing as current, and comes back without a stir after hundreds of edits',
-    ),
+    title('rejects edits and reads, and catches up after hundreds of edits without a new election'),
     async (t) => {
-      const trio = new Trio();
-      await trio.start();
+      const cluster = new ThreeNodeCluster();
+      await cluster.start();
       try {
-        const all = trio.client(NAMES);
-        for (let n = 0; n < 10; n += 1) await edit(all, n);
-        const cut = trio.leader();
-        const rest = NAMES.filter((name) => name !== cut);
-        trio.cutOff(cut, true);
-        const alone = trio.client([cut]);
-        await t.throwsAsync(edit(alone, 10));
-        await t.throwsAsync(alone.table(-1));
-        await t.throwsAsync(alone.inForce(1));
-        const others = trio.client(rest);
-        for (let n = 10; n < 310; n += 1) await edit(others, n);
-        const leader = trio.leader();
-        t.true(rest.includes(leader));
-        const term = trio.nodes.get(leader)?.status().groups[0]?.term;
-        trio.cutOff(cut, false);
-        const applied = (): number => trio.nodes.get(cut)?.status().groups[0]?.appliedIndex ?? 0;
-        const target = trio.nodes.get(leader)?.status().groups[0]?.appliedIndex ?? 0;
+        const client = cluster.client(NAMES);
+        for (let n = 0; n < 10; n += 1) await edit(client, n);
+        const partitioned = cluster.leader();
+        const majority = NAMES.filter((name) => name !== partitioned);
+        cluster.setPartitioned(partitioned, true);
+        const isolatedClient = cluster.client([partitioned]);
+        await t.throwsAsync(edit(isolatedClient, 10));
+        await t.throwsAsync(isolatedClient.table(-1));
+        await t.throwsAsync(isolatedClient.inForce(1));
+        const majorityClient = cluster.client(majority);
+        for (let n = 10; n < 310; n += 1) await edit(majorityClient, n);
+        const leader = cluster.leader();
+        t.true(majority.includes(leader));
+        const term = cluster.nodes.get(leader)?.status().groups[0]?.term;
+        cluster.setPartitioned(partitioned, false);
+        const applied = (): number =>
+          cluster.nodes.get(partitioned)?.status().groups[0]?.appliedIndex ?? 0;
+        const target = cluster.nodes.get(leader)?.status().groups[0]?.appliedIndex ?? 0;
         for (let waited = 0; applied() < target && waited < 400; waited += 1) await pause(50);
         t.true(applied() >= target);
-        t.is(trio.leader(), leader);
-        t.is(trio.nodes.get(leader)?.status().groups[0]?.term, term);
-        const table = await trio.client([cut, ...rest]).table(-1);
+        t.is(cluster.leader(), leader);
+        t.is(cluster.nodes.get(leader)?.status().groups[0]?.term, term);
+        const table = await cluster.client([partitioned, ...majority]).table(-1);
         t.is(table.revision, 310);
       } finally {
-        await trio.close();
+        await cluster.close();
       }
     },
   );
--- a/packages/control/src/peer-presence.ts
+++ b/packages/control/src/peer-presence.ts
@@ -1,20 +1,20 @@
 /**
- * Which processes of the cluster are up, from what they say of themselves twice a second, and
- * under which identity: one that lost its disk comes back under another.
+ * Tracks which processes of the cluster are up, from the announcements that they send every
+ * 500 ms, and their member ids: a process that lost its disk restarts with another member id.
  */
 import type { PeerConnections } from '@shedline/transport';
 import type { Logger } from '@shedline/logger';
 
 /** Time between announcements. */
 export const PRESENCE_INTERVAL_MS = 500;
-/** Silence after which a process no longer counts as up. */
+/** Time without an announcement after which a process no longer counts as up. */
 const PRESENCE_LEASE_MS = 3000;
 
-/** What a process says of itself. */
+/** Announcement of a process. */
 export interface PresenceMessage {
   readonly instance: string;
   readonly memberId: string;
-  /** Cluster that it belongs to; undefined while it looks for one. */
+  /** Cluster of the process; undefined while it is looking for one. */
   readonly clusterId: string | undefined;
 }
 
@@ -25,30 +25,30 @@
   readonly nowMs: () => number;
 }
 
-/** Processes heard lately. */
+/** Processes that announced themselves recently. */
 export class PeerPresence {
   private readonly options: PeerPresenceOptions;
-  private readonly heard = new Map<string, { memberId: string; heardAtMs: number }>();
+  private readonly lastSeen = new Map<string, { memberId: string; receivedAtMs: number }>();
   private joinedAtMs = 0;
 
   constructor(options: PeerPresenceOptions) {
     this.options = options;
   }
 
-  /** This process became part of its cluster. */
-  joined(): void {
+  /** Records that this process has joined its cluster. */
+  recordJoin(): void {
     this.joinedAtMs = this.options.nowMs();
   }
 
-  /** Tells the peers that this process is up. */
+  /** Announces this process to the peers. */
   announce(own: PresenceMessage): void {
     for (const peer of this.options.peers.ready) peer.send('presence', own);
-    this.hear(own);
+    this.recordPresence(own);
   }
 
-  /** Takes what a peer says; peers of another cluster do not count. */
+  /** Handles the announcement of a peer; ignores peers of another cluster. */
   receive(message: PresenceMessage, clusterId: string | undefined): void {
-    // A process that still looks for its cluster belongs to none yet.
+    // A process that is still looking for its cluster does not belong to one yet.
     if (message.clusterId === undefined || clusterId === undefined) return;
     if (message.clusterId !== clusterId) {
       this.options.logger.error('peer belongs to another cluster', {
@@ -57,26 +57,26 @@
       });
       return;
     }
-    this.hear(message);
+    this.recordPresence(message);
   }
 
-  /** Identities of the processes that are up. */
+  /** Member ids of the processes that are up. */
   get liveIds(): string[] {
     const nowMs = this.options.nowMs();
-    const live = [...this.heard.values()].filter(
-      (entry) => nowMs - entry.heardAtMs < PRESENCE_LEASE_MS,
+    const live = [...this.lastSeen.values()].filter(
+      (entry) => nowMs - entry.receivedAtMs < PRESENCE_LEASE_MS,
     );
     return live.map((entry) => entry.memberId);
   }
 
-  /** Time since a member was last heard; since this process joined where it never was. */
-  unheardMs(instance: string, memberId: string): number {
-    const known = this.heard.get(instance);
-    const sinceMs = known?.memberId === memberId ? known.heardAtMs : this.joinedAtMs;
+  /** Time since the last announcement of a member, or since this process joined if none came. */
+  lastSeenAgoMs(instance: string, memberId: string): number {
+    const known = this.lastSeen.get(instance);
+    const sinceMs = known?.memberId === memberId ? known.receivedAtMs : this.joinedAtMs;
     return this.options.nowMs() - sinceMs;
   }
 
-  private hear({ instance, memberId }: PresenceMessage): void {
-    this.heard.set(instance, { memberId, heardAtMs: this.options.nowMs() });
+  private recordPresence({ instance, memberId }: PresenceMessage): void {
+    this.lastSeen.set(instance, { memberId, receivedAtMs: this.options.nowMs() });
   }
 }
--- a/packages/control/src/snapshot-copy.ts
+++ b/packages/control/src/snapshot-copy.ts
@@ -1,5 +1,5 @@
 /**
- * Copies a snapshot and the files it refers to from another instance, piece by piece.
+ * Copies the files that a snapshot refers to from another instance, chunk by chunk.
  */
 import { ShedlineError } from '@shedline/errors';
 import type { ItemFiles } from '@shedline/storage';
@@ -8,30 +8,30 @@
 
 const CHUNK_BYTES = 512 * 1024;
 
-/** Asks the source for one piece of a file. */
+/** Reads a chunk of a file from the source instance. */
 export type ChunkReader = (file: string, offset: number, sizeBytes: number) => Promise<Uint8Array>;
 
 /** Options of {@link copyFiles}. */
 export interface CopyFilesOptions {
   readonly manifest: SnapshotManifest;
-  /** Files that are here already; replicas hold the same bytes, so only the rest is copied. */
-  readonly held: readonly StateFile[];
+  /** Local files. Replicas hold the same bytes at the same offsets, so only the rest is copied. */
+  readonly localFiles: readonly StateFile[];
   readonly files: ItemFiles;
-  readonly read: ChunkReader;
-  /** Whether the copy still makes sense; asked before each write. */
-  readonly isWanted: () => boolean;
+  readonly readChunk: ChunkReader;
+  /** Whether the copy is still needed; checked before each write. */
+  readonly isStillNeeded: () => boolean;
 }
 
-/** Copies what is missing and syncs it; gives the bytes copied. */
+/** Copies the missing bytes and syncs the files; returns the number of bytes copied. */
 export async function copyFiles(options: CopyFilesOptions): Promise<number> {
-  const heldBytes = new Map(options.held.map(({ file, sizeBytes }) => [file, sizeBytes]));
-  let copied = 0;
+  const localBytes = new Map(options.localFiles.map(({ file, sizeBytes }) => [file, sizeBytes]));
+  let copiedBytes = 0;
   for (const { file, sizeBytes } of options.manifest.files) {
-    const from = Math.min(heldBytes.get(file) ?? 0, sizeBytes);
-    copied += await copyFile(options, file, from, sizeBytes);
+    const fromOffset = Math.min(localBytes.get(file) ?? 0, sizeBytes);
+    copiedBytes += await copyFile(options, file, fromOffset, sizeBytes);
   }
   await options.files.sync();
-  return copied;
+  return copiedBytes;
 }
 
 async function copyFile(
@@ -42,10 +42,10 @@
 ): Promise<number> {
   let offset = fromOffset;
   while (offset < sizeBytes) {
-    const wanted = Math.min(CHUNK_BYTES, sizeBytes - offset);
-    const chunk = await options.read(file, offset, wanted);
-    if (!options.isWanted()) {
-      const message = 'the group moved on while its snapshot was copied';
+    const requestedBytes = Math.min(CHUNK_BYTES, sizeBytes - offset);
+    const chunk = await options.readChunk(file, offset, requestedBytes);
+    if (!options.isStillNeeded()) {
+      const message = 'the group advanced or stopped while its snapshot was copied';
       throw new ShedlineError({ type: 'unavailable', message, step: 'copy snapshot', peer: file });
     }
     if (chunk.length === 0) break;
--- a/packages/control/src/snapshot-exchange.ts
+++ b/packages/control/src/snapshot-exchange.ts
@@ -1,5 +1,6 @@
 /**
- * Snapshots between instances: the leader offers, the member that is far behind copies.
+ * Transfers snapshots between instances: the leader offers a snapshot to a member that lacks log
+ * entries, and the member copies it.
  */
 import { instanceOf } from '@shedline/consensus';
 import type { Logger } from '@shedline/logger';
@@ -9,20 +10,20 @@
 import { copyFiles } from './snapshot-copy.js';
 
 const COPY_TIMEOUT_MS = 5000;
-const RETRY_MS = 10_000;
+const OFFER_TIMEOUT_MS = 10_000;
 
 /** Options of {@link SnapshotExchange}. */
 export interface SnapshotExchangeOptions {
   readonly logger: Logger;
   readonly nowMs: () => number;
   readonly peer: (instance: string) => PeerClient | undefined;
-  /** The member of a group here; opened if it does not exist yet. */
+  /** Returns the local member of a group; opens it if it does not exist yet. */
   readonly hostFor: (group: number) => GroupHost | undefined;
   readonly filesOf: (group: number) => DiskItemFiles;
   readonly isStopped: () => boolean;
 }
 
-/** Offers and copies under way. */
+/** Snapshot offers and copies in progress. */
 export class SnapshotExchange {
   private readonly options: SnapshotExchangeOptions;
   private readonly copying = new Set<number>();
@@ -32,20 +33,20 @@
     this.options = options;
   }
 
-  /** Tells a member that it has to copy a snapshot from here. */
+  /** Offers a member the snapshot of a group for copying. */
   offer(group: number, memberId: string, leaderId: string): void {
     const key = `${group}|${memberId}`;
     const offeredAtMs = this.options.nowMs();
     this.offeredAtMs.set(key, offeredAtMs);
     this.options.peer(instanceOf(memberId))?.send('snapshotOffer', { group, leaderId });
     setTimeout(() => {
-      // The offer or its answer was lost: start again from what matches.
-      if (this.offeredAtMs.get(key) === offeredAtMs) this.done(group, memberId);
-    }, RETRY_MS).unref();
+      // The offer or its completion message was lost: resume replication from the matching index.
+      if (this.offeredAtMs.get(key) === offeredAtMs) this.finish(group, memberId);
+    }, OFFER_TIMEOUT_MS).unref();
   }
 
-  /** Notes that a member has ended its copy, well or not. */
-  done(group: number, memberId: string): void {
+  /** Handles the end of the copy of a member, successful or not. */
+  finish(group: number, memberId: string): void {
     this.offeredAtMs.delete(`${group}|${memberId}`);
     this.options.hostFor(group)?.consensus.snapshotSent(memberId);
   }
@@ -57,19 +58,19 @@
     const source = peer(instanceOf(leaderId));
     if (host === undefined || source === undefined || this.copying.has(group)) return;
     this.copying.add(group);
-    const startedAt = host.appliedIndex;
+    const initialAppliedIndex = host.appliedIndex;
     try {
-      const asked = await source.request('manifest', { group }, COPY_TIMEOUT_MS);
-      const manifest = asked as SnapshotManifest;
+      const reply = await source.request('manifest', { group }, COPY_TIMEOUT_MS);
+      const manifest = reply as SnapshotManifest;
       const copiedBytes = await copyFiles({
         manifest,
-        held: host.machine.fileSizes(),
+        localFiles: host.machine.fileSizes(),
         files: filesOf(group),
-        read: async (file, offset, sizeBytes) => {
-          const piece = { group, file, offset, sizeBytes };
-          return (await source.request('chunk', piece, COPY_TIMEOUT_MS)) as Uint8Array;
+        readChunk: async (file, offset, sizeBytes) => {
+          const chunk = { group, file, offset, sizeBytes };
+          return (await source.request('chunk', chunk, COPY_TIMEOUT_MS)) as Uint8Array;
         },
-        isWanted: () => host.appliedIndex === startedAt && !isStopped(),
+        isStillNeeded: () => host.appliedIndex === initialAppliedIndex && !isStopped(),
       });
       const installed = await host.install(manifest, leaderId);
       logger.info('snapshot copied', { group, copiedBytes, installed, peer: leaderId });
--- a/packages/control/src/state-machine.ts
+++ b/packages/control/src/state-machine.ts
@@ -1,5 +1,5 @@
 /**
- * State machines that run on a replicated log group.
+ * State machines of the replicated log groups.
  */
 import { pack, unpack } from 'msgpackr';
 import { match, P } from 'ts-pattern';
@@ -13,23 +13,23 @@
 import type { Query } from '@shedline/control-client';
 import { ShedlineError } from '@shedline/errors';
 
-/** A file that a state refers to and how much of it is valid. */
+/** File that the state of a group refers to, with the size of its valid part. */
 export interface StateFile {
   readonly file: string;
   readonly sizeBytes: number;
 }
 
-/** Deterministic state fed by the commands of one group. */
+/** Deterministic state machine that applies the committed commands of a group. */
 export interface GroupStateMachine {
   apply(command: unknown, logIndex: number): unknown;
-  /** Answers a query of a control client; groups that are read by other means have none. */
+  /** Runs a query of a control client; undefined for groups that are read in other ways. */
   query?(query: Query, wallMs: number): unknown;
   snapshot(): Uint8Array;
   restore(state: Uint8Array): void;
   fileSizes(): readonly StateFile[];
 }
 
-/** The table and the orders to endpoints. */
+/** State machine of the table group: the table, and the orders to endpoints. */
 export class TableGroup implements GroupStateMachine {
   readonly table = new Table();
   readonly orders = new Orders();
@@ -64,15 +64,15 @@
   }
 }
 
-/** Time that items must have been ending before a late end is foretold. */
+/** Time with open jobs before the item rate is used to predict a missed deadline. */
 const MIN_BUSY_MS = 10_000;
 
-/** Jobs and call claims. */
+/** State machine of a job group: jobs and call claims. */
 export class JobGroup implements GroupStateMachine {
   readonly jobs: Jobs;
-  /** Items that ended a second lately, for the prediction of late ends. */
+  /** Moving average of the items finished per second, used to predict missed deadlines. */
   itemsPerSecond = 0;
-  /** How long items have been ending; a young rate foretells nothing. */
+  /** Time for which the group has had open jobs; a rate from a short time predicts nothing. */
   busyMs = 0;
 
   constructor(files: ItemFiles) {
@@ -86,7 +86,7 @@
   query(query: Query, wallMs: number): unknown {
     return match(query)
       .with({ type: 'job' }, (q) =>
-        this.jobs.view(q.jobId, q.workspace, this.isPredictedLate(q.jobId, wallMs)),
+        this.jobs.view(q.jobId, q.workspace, this.willMissDeadline(q.jobId, wallMs)),
       )
       .with({ type: 'jobs' }, (q) => this.jobs.list(q.workspace))
       .with({ type: 'results' }, (q) => this.jobs.results(q))
@@ -108,20 +108,23 @@
     return this.jobs.fileSizes();
   }
 
-  /** Items due no later than the job's must fit into the time left at the present rate. */
-  private isPredictedLate(jobId: string, wallMs: number): boolean {
-    const open = this.jobs.openJobs();
-    const job = open.find((candidate) => candidate.jobId === jobId);
+  /**
+   * Returns whether the open items that are due by the job's deadline cannot all finish by then at
+   * the current rate.
+   */
+  private willMissDeadline(jobId: string, wallMs: number): boolean {
+    const openJobs = this.jobs.openJobs();
+    const job = openJobs.find((candidate) => candidate.jobId === jobId);
     if (job === undefined || job.openItems === 0) return false;
     if (job.dueAtMs <= wallMs) return true;
     if (this.itemsPerSecond === 0 || this.busyMs < MIN_BUSY_MS) return false;
-    const ahead = open.filter((candidate) => candidate.dueAtMs <= job.dueAtMs);
-    const items = ahead.reduce((sum, candidate) => sum + candidate.openItems, 0);
-    return wallMs + (items / this.itemsPerSecond) * 1000 > job.dueAtMs;
+    const dueEarlier = openJobs.filter((candidate) => candidate.dueAtMs <= job.dueAtMs);
+    const itemCount = dueEarlier.reduce((sum, candidate) => sum + candidate.openItems, 0);
+    return wallMs + (itemCount / this.itemsPerSecond) * 1000 > job.dueAtMs;
   }
 }
 
 function unknownQuery(query: Query): ShedlineError {
-  const message = `this group answers no ${query.type} query`;
+  const message = `this group does not support ${query.type} queries`;
   return new ShedlineError({ type: 'invalid_request', message, step: 'query' });
 }
--- a/packages/control/src/table-duties.ts
+++ b/packages/control/src/table-leader-tasks.ts
@@ -1,20 +1,20 @@
 /**
- * What the leader of the table group does: knows where revisions are in force and gives orders
- * to endpoints while a quorum confirms it.
+ * Tasks of the leader of the table group: tracks which entries have applied which revision, and
+ * sends orders to endpoints while a quorum confirms its leadership.
  */
 import type { ControlSettings } from '@shedline/config';
 import { OrderGate } from '@shedline/fencing';
 import type { OrderAnswer, OrderCommand } from '@shedline/fencing';
 import type { Logger } from '@shedline/logger';
-import { InForceTracker } from '@shedline/table';
+import { RevisionTracker } from '@shedline/table';
 import type { EntryStatus, InForceReport } from '@shedline/table';
 import { sampleEntries } from '@shedline/routing';
 import type { GroupHost } from './group-host.js';
 import { OrderRunner } from './order-runner.js';
 import type { TableGroup } from './state-machine.js';
 
-/** Options of {@link TableDuties}. */
-export interface TableDutiesOptions {
+/** Options of {@link TableLeaderTasks}. */
+export interface TableLeaderTasksOptions {
   readonly control: ControlSettings;
   readonly logger: Logger;
   readonly nowMs: () => number;
@@ -22,47 +22,47 @@
   readonly inBackground: (work: Promise<unknown>) => void;
 }
 
-/** Duties towards the table group. */
-export class TableDuties {
-  private readonly options: TableDutiesOptions;
-  private readonly inForce = new InForceTracker();
+/** Tasks for the table group. */
+export class TableLeaderTasks {
+  private readonly options: TableLeaderTasksOptions;
+  private readonly revisions = new RevisionTracker();
   private readonly gate: OrderGate;
   private orderRunner: OrderRunner | undefined;
 
-  constructor(options: TableDutiesOptions) {
+  constructor(options: TableLeaderTasksOptions) {
     this.options = options;
     const { orderLeaseMs, orderTimeoutMs } = options.control;
     this.gate = new OrderGate({ leaseMs: orderLeaseMs, orderTimeoutMs });
   }
 
-  /** Lets a quorum confirm the lease, and sends orders that wait. */
+  /** Renews the lease for orders through a quorum and sends waiting orders. */
   tick(host: GroupHost, nowMs: number): void {
-    const confirmed = host.confirmLeadership().then(() => {
+    const confirmation = host.confirmLeadership().then(() => {
       this.gate.confirmed(nowMs);
     });
-    this.options.inBackground(confirmed);
+    this.options.inBackground(confirmation);
     this.orderRunner?.tick();
   }
 
-  /** Begins or ends the duties. */
+  /** Starts or stops the tasks, when this instance gains or loses leadership. */
   roleChanged(host: GroupHost, machine: TableGroup, memberId: string): void {
-    this.inForce.becameLeader(this.options.nowMs());
+    this.revisions.reset(this.options.nowMs());
     this.gate.lost();
     this.orderRunner = undefined;
     if (host.isLeading) this.options.inBackground(this.claimOrders(host, machine, memberId));
   }
 
-  /** Takes what an entry says of itself; gives some of the entries that hold their lease. */
-  hear(status: EntryStatus): EntryStatus[] {
+  /** Records the status of an entry; returns a sample of the entries whose lease is valid. */
+  recordEntryStatus(status: EntryStatus): EntryStatus[] {
     const { nowMs, random } = this.options;
-    this.inForce.hear(status, nowMs());
-    const live = this.inForce.liveEntries(nowMs());
+    this.revisions.recordStatus(status, nowMs());
+    const live = this.revisions.liveEntries(nowMs());
     return sampleEntries({ live, availabilityZone: status.availabilityZone, random });
   }
 
-  /** Where a revision is in force. */
+  /** Returns which entries have applied a revision. */
   report(revision: number): InForceReport {
-    return this.inForce.report(revision, this.options.nowMs());
+    return this.revisions.report(revision, this.options.nowMs());
   }
 
   private async claimOrders(host: GroupHost, machine: TableGroup, holder: string): Promise<void> {
@@ -75,7 +75,7 @@
       gate: this.gate,
       orders: machine.orders,
       propose: (order) => host.propose(order) as Promise<OrderAnswer>,
-      loadsAtOnce: control.weightStoreLoadsAtOnce,
+      maxConcurrentOrders: control.weightStoreLoadsAtOnce,
       orderTimeoutMs: control.orderTimeoutMs,
       logger,
       nowMs,
--- a/packages/fencing/src/fencing.test.ts
+++ b/packages/fencing/src/fencing.test.ts
@@ -39,9 +39,9 @@
   successor.acquired(2, electionMs * newRate);
   let oldOrderUntilMs = -1;
   for (let trueMs = 0; trueMs < 600; trueMs += 1) {
-    if (old.mayOrder(trueMs * oldRate, false)) oldOrderUntilMs = trueMs + ORDER_TIMEOUT_MS;
+    if (old.maySendOrder(trueMs * oldRate, false)) oldOrderUntilMs = trueMs + ORDER_TIMEOUT_MS;
     successor.confirmed(trueMs * newRate);
-    const successorOrders = trueMs >= electionMs && successor.mayOrder(trueMs * newRate, false);
+    const successorOrders = trueMs >= electionMs && successor.maySendOrder(trueMs * newRate, false);
     if (successorOrders && trueMs < oldOrderUntilMs) return true;
   }
   return false;
@@ -75,12 +75,12 @@
     const gate = new OrderGate(OPTIONS);
     gate.acquired(7, 0);
     gate.confirmed(0);
-    t.true(gate.mayOrder(90, true));
-    t.false(gate.mayOrder(99, true));
+    t.true(gate.maySendOrder(90, true));
+    t.false(gate.maySendOrder(99, true));
     gate.confirmed(100);
-    t.true(gate.mayOrder(150, true));
+    t.true(gate.maySendOrder(150, true));
     gate.lost();
-    t.false(gate.mayOrder(151, true));
+    t.false(gate.maySendOrder(151, true));
     t.is(gate.fencingNumber, 0);
   });
 });
--- a/packages/fencing/src/order-gate.ts
+++ b/packages/fencing/src/order-gate.ts
@@ -63,7 +63,7 @@
   }
 
   /** Whether an order may be sent now; `checksFencing` says what the endpoint does. */
-  mayOrder(nowMs: number, checksFencing: boolean): boolean {
+  maySendOrder(nowMs: number, checksFencing: boolean): boolean {
     if (this.heldSinceMs === undefined) return false;
     if (!this.holdsLease(nowMs)) return false;
     return checksFencing || nowMs >= this.heldSinceMs + this.successorWaitMs();
--- a/packages/storage/src/storage.test.ts
+++ b/packages/storage/src/storage.test.ts
@@ -237,7 +237,7 @@
             const health: boolean[] = [];
             const storage = await Storage.open({
               files: failing,
-              onHealth: (failure) => health.push(failure === undefined),
+              onHealthChange: (failure) => health.push(failure === undefined),
             });
             await storage.append({ group: 0, entries: [entry(1)] });
             failing.syncFailures = syncFailures;
@@ -265,7 +265,7 @@
       const before = storage.segmentCount;
       await storage.saveSnapshot(0, { index: 15, term: 1, config }, new Uint8Array([7]));
       t.is(storage.segmentCount, before);
-      t.deepEqual(storage.groupsHoldingOldest(), [1]);
+      t.deepEqual(storage.groupsRetainingOldestSegment(), [1]);
       await storage.saveSnapshot(1, { index: 15, term: 1, config }, new Uint8Array([8]));
       t.true(storage.segmentCount < before);
       await storage.close();
--- a/packages/storage/src/storage.ts
+++ b/packages/storage/src/storage.ts
@@ -25,7 +25,7 @@
   readonly files: FileSystem;
   readonly maxSegmentBytes?: number;
   /** Called when the disk refuses a write, and with undefined once it takes writes again. */
-  readonly onHealth?: (failure: ShedlineError | undefined) => void;
+  readonly onHealthChange?: (failure: ShedlineError | undefined) => void;
 }
 
 interface Segment {
@@ -62,7 +62,7 @@
   private constructor(options: StorageOptions) {
     this.files = options.files;
     this.maxSegmentBytes = options.maxSegmentBytes ?? DEFAULT_MAX_SEGMENT_BYTES;
-    this.onHealth = options.onHealth ?? (() => undefined);
+    this.onHealth = options.onHealthChange ?? (() => undefined);
   }
 
   /** Reads what is on the disk. Throws `corrupt_storage` naming file and offset. */
@@ -80,7 +80,7 @@
   }
 
   /** Why writes do not pass at present, if so. */
-  get health(): ShedlineError | undefined {
+  get diskFailure(): ShedlineError | undefined {
     return this.failure;
   }
 
@@ -126,7 +126,7 @@
   }
 
   /** Groups whose entries keep the oldest segment from being dropped. */
-  groupsHoldingOldest(): number[] {
+  groupsRetainingOldestSegment(): number[] {
     const oldest = this.segments[0];
     if (oldest === undefined || this.segments.length < 2) return [];
     return [...oldest.lastIndexes]
@@ -255,7 +255,7 @@
   private async dropSegments(): Promise<void> {
     while (this.segments.length > 1) {
       const oldest = this.segments[0];
-      if (oldest === undefined || this.groupsHoldingOldest().length > 0) return;
+      if (oldest === undefined || this.groupsRetainingOldestSegment().length > 0) return;
       this.segments.shift();
       await this.files.remove(oldest.name);
     }
--- a/packages/table/src/index.ts
+++ b/packages/table/src/index.ts
@@ -5,4 +5,4 @@
 export * from './fields.js';
 export * from './table.js';
 export * from './table-view.js';
-export * from './in-force.js';
+export * from './revision-tracker.js';
--- a/packages/table/src/in-force.ts
+++ b/packages/table/src/revision-tracker.ts
@@ -31,7 +31,7 @@
 }
 
 /** Confirmations of entries. */
-export class InForceTracker {
+export class RevisionTracker {
   private readonly entryLeaseMs: number;
   private readonly heard = new Map<string, HeardEntry>();
   private leadingSinceMs = Infinity;
@@ -41,13 +41,13 @@
   }
 
   /** Starts anew on a new leader. */
-  becameLeader(nowMs: number): void {
+  reset(nowMs: number): void {
     this.heard.clear();
     this.leadingSinceMs = nowMs;
   }
 
   /** Notes what an entry said. */
-  hear(status: EntryStatus, nowMs: number): void {
+  recordStatus(status: EntryStatus, nowMs: number): void {
     const known = this.heard.get(status.entry)?.status.revision ?? -1;
     const revision = Math.max(known, status.revision);
     this.heard.set(status.entry, { status: { ...status, revision }, heardAtMs: nowMs });
--- a/packages/table/src/table.test.ts
+++ b/packages/table/src/table.test.ts
@@ -3,7 +3,7 @@
 import { describe, title } from '@shedline/test-utils';
 import type { EditAnswer, EditRow, TableCommand } from './commands.js';
 import { parseRowChange, parseTableFile } from './fields.js';
-import { InForceTracker } from './in-force.js';
+import { RevisionTracker } from './revision-tracker.js';
 import { Table } from './table.js';
 import { TableView } from './table-view.js';
 
@@ -172,14 +172,14 @@
   test(
     title('says yes only once every live entry has confirmed and all have had time to speak'),
     (t) => {
-      const tracker = new InForceTracker({ entryLeaseMs: 1000 });
-      tracker.becameLeader(0);
-      tracker.hear(status('e1', 5), 10);
+      const tracker = new RevisionTracker({ entryLeaseMs: 1000 });
+      tracker.reset(0);
+      tracker.recordStatus(status('e1', 5), 10);
       t.is(tracker.report(5, 20).inForce, 'unknown');
-      tracker.hear(status('e2', 4), 900);
-      tracker.hear(status('e1', 5), 900);
+      tracker.recordStatus(status('e2', 4), 900);
+      tracker.recordStatus(status('e1', 5), 900);
       t.like(tracker.report(5, 1100), { inForce: 'no', missing: ['e2'] });
-      tracker.hear(status('e1', 5), 1500);
+      tracker.recordStatus(status('e1', 5), 1500);
       t.like(tracker.report(5, 2000), { inForce: 'yes', confirmed: ['e1'], missing: [] });
     },
   );
