--- a/packages/storage/src/file-system.ts
+++ b/packages/storage/src/file-system.ts
@@ -1,32 +1,32 @@
 /**
- * The few file operations that the storage needs, so that tests can make them fail.
+ * File operations of the storage, behind an interface so that tests can make them fail.
  */
 import { open, readFile, readdir, rename, rm, mkdir } from 'node:fs/promises';
 import { join } from 'node:path';
 
-/** A file opened for appending. */
+/** File opened for appending. */
 export interface AppendFile {
   append(bytes: Uint8Array): Promise<void>;
-  /** Returns once everything appended is on the disk. */
+  /** Resolves once everything appended is on disk. */
   sync(): Promise<void>;
   truncate(sizeBytes: number): Promise<void>;
   close(): Promise<void>;
 }
 
-/** File operations below one data folder. */
+/** File operations in one data folder. */
 export interface FileSystem {
   list(): Promise<string[]>;
   read(name: string): Promise<Buffer>;
   /** Creates a new empty file and syncs the folder. */
   create(name: string): Promise<AppendFile>;
-  /** Writes aside, syncs, renames and syncs the folder. */
+  /** Replaces a file atomically: writes a temporary file, syncs, renames, and syncs the folder. */
   replace(name: string, bytes: Uint8Array): Promise<void>;
   truncate(name: string, sizeBytes: number): Promise<void>;
-  /** Removes a file and syncs the folder; of several removed ones none comes back. */
+  /** Removes a file and syncs the folder, so that the removal survives a power loss. */
   remove(name: string): Promise<void>;
 }
 
-/** {@link FileSystem} on a real folder. */
+/** {@link FileSystem} in a folder on disk. */
 export class NodeFileSystem implements FileSystem {
   private readonly folder: string;
 
@@ -34,7 +34,7 @@
     this.folder = folder;
   }
 
-  /** Makes the folder if it is missing. */
+  /** Creates the folder if it is missing. */
   async prepare(): Promise<void> {
     await mkdir(this.folder, { recursive: true });
   }
@@ -66,15 +66,15 @@
   }
 
   async replace(name: string, bytes: Uint8Array): Promise<void> {
-    const aside = join(this.folder, `${name}.tmp`);
-    const handle = await open(aside, 'w');
+    const temporaryPath = join(this.folder, `${name}.tmp`);
+    const handle = await open(temporaryPath, 'w');
     try {
       await handle.writeFile(bytes);
       await handle.sync();
     } finally {
       await handle.close();
     }
-    await rename(aside, join(this.folder, name));
+    await rename(temporaryPath, join(this.folder, name));
     await this.syncFolder();
   }
 
--- a/packages/storage/src/folder-lock.ts
+++ b/packages/storage/src/folder-lock.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps a second process out of a data folder. The lock is a socket in the abstract name space
- * of Linux: the kernel frees it with its process, so a lost process leaves no stale lock.
+ * Locks a data folder against use by a second process. The lock is a Linux abstract socket: the
+ * kernel releases it when the process ends, so a crashed process leaves no stale lock.
  */
 import { createHash } from 'node:crypto';
 import { realpath } from 'node:fs/promises';
@@ -8,20 +8,20 @@
 import { constants } from 'node:os';
 import { ShedlineError } from '@shedline/errors';
 
-/** Gives a lock free again. */
+/** Releases a lock. */
 export type ReleaseLock = () => Promise<void>;
 
 /**
- * Takes the lock of a folder; throws where another process or part of this one holds it. Where
- * the system has no such sockets there is no lock: `onUnsupported` is told, and the caller has
- * to keep a second process out by other means.
+ * Locks a folder; throws `unavailable` if it is already locked, also if by this process. Without
+ * abstract sockets the folder is not locked, and other means must prevent a second process.
+ * `onUnsupported` is called if a Linux system lacks them; on other systems it is not called.
  */
 export async function lockFolder(
   folder: string,
   onUnsupported: () => void = () => undefined,
 ): Promise<ReleaseLock> {
-  const unlocked: ReleaseLock = () => Promise.resolve();
-  if (process.platform !== 'linux') return unlocked;
+  const releaseNothing: ReleaseLock = () => Promise.resolve();
+  if (process.platform !== 'linux') return releaseNothing;
   const name = createHash('sha256')
     .update(await realpath(folder))
     .digest('hex');
@@ -37,7 +37,7 @@
   });
   if (!isLocked) {
     onUnsupported();
-    return unlocked;
+    return releaseNothing;
   }
   server.unref();
   return () =>
@@ -48,7 +48,7 @@
     });
 }
 
-/** Node names some error numbers only by number. */
+/** Node.js reports some errors only by number, without a code. */
 function isUnsupported(error: NodeJS.ErrnoException): boolean {
   return error.code === 'EAFNOSUPPORT' || error.errno === -constants.errno.EAFNOSUPPORT;
 }
@@ -56,7 +56,7 @@
 function lockError(folder: string, cause: Error): ShedlineError {
   return new ShedlineError({
     type: 'unavailable',
-    message: `the data folder ${folder} is in use by another process; stop that one first`,
+    message: `the data folder ${folder} is in use by another process; stop that process first`,
     step: 'lock data folder',
     peer: folder,
     cause,
--- a/packages/storage/src/frame.ts
+++ b/packages/storage/src/frame.ts
@@ -1,12 +1,12 @@
 /**
- * Frames: the unit of the write-ahead log and of snapshot files.
+ * Encodes and decodes frames, the units of the write-ahead log and of snapshot files.
  *
  * Layout, little endian: magic (4 bytes), sequence (8), body length (4), checksum of the
  * header so far (4), checksum of the body (4), body.
  */
 import { crc32 } from 'node:zlib';
 
-/** Bytes before the body of a frame. */
+/** Size of the header of a frame. */
 export const FRAME_HEADER_BYTES = 24;
 const MAGIC = Buffer.from('SLf1');
 const SEQUENCE_OFFSET = 4;
@@ -14,15 +14,15 @@
 const HEADER_CHECKSUM_OFFSET = 16;
 const BODY_CHECKSUM_OFFSET = 20;
 
-/** A frame found in a file. */
+/** Decoded frame. */
 export interface Frame {
   readonly sequence: number;
   readonly body: Buffer;
-  /** Offset behind the frame. */
+  /** Offset of the first byte after the frame. */
   readonly endOffset: number;
 }
 
-/** A frame as bytes. */
+/** Encodes a frame. */
 export function encodeFrame(sequence: number, body: Uint8Array): Buffer {
   const frame = Buffer.allocUnsafe(FRAME_HEADER_BYTES + body.length);
   MAGIC.copy(frame, 0);
@@ -34,7 +34,7 @@
   return frame;
 }
 
-/** The whole and sound frame at an offset, if there is one. */
+/** Decodes the frame at an offset; returns undefined unless it is complete and valid. */
 export function decodeFrame(buffer: Buffer, offset: number): Frame | undefined {
   const header = buffer.subarray(offset, offset + FRAME_HEADER_BYTES);
   if (header.length < FRAME_HEADER_BYTES) return undefined;
@@ -49,7 +49,10 @@
   return { sequence, body, endOffset: bodyStart + body.length };
 }
 
-/** Whether any sound frame begins after an offset: then what is at the offset is no torn tail. */
+/**
+ * Returns whether a valid frame begins after an offset. If so, invalid bytes at the offset are
+ * damage and not the torn tail of an interrupted write.
+ */
 export function hasFrameAfter(buffer: Buffer, offset: number): boolean {
   let position = buffer.indexOf(MAGIC, offset + 1);
   while (position !== -1) {
--- a/packages/storage/src/index.ts
+++ b/packages/storage/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * Durable storage of a control instance.
+ * Durable storage of group members: write-ahead log, snapshots and item files.
  */
 export * from './file-system.js';
 export * from './folder-lock.js';
--- a/packages/storage/src/item-files.ts
+++ b/packages/storage/src/item-files.ts
@@ -2,8 +2,8 @@
  * Append-only files that hold the payloads and results of jobs.
  *
  * Every replica of a group applies the same log, so the files of all replicas hold the same
- * bytes at the same offsets. The state machine alone knows how long a file is: bytes behind
- * that length are leftovers of a crash and are overwritten.
+ * bytes at the same offsets. Only the state machine knows the valid length of a file: bytes after
+ * it were written before a crash and are overwritten.
  */
 import {
   closeSync,
@@ -21,30 +21,30 @@
 
 const MAX_OPEN_FILES = 128;
 const RECORD_HEADER_BYTES = 8;
-/** Records begin at multiples of this, so that a 32-bit number can address 32 GiB. */
+/** Alignment of records, so that a 32-bit number can address 32 GiB. */
 export const RECORD_ALIGNMENT_BYTES = 8;
 
-/** Where the state machine keeps item bytes. */
+/** Files in which a state machine stores payloads and results. */
 export interface ItemFiles {
-  /** Writes a record at an offset; gives the offset behind it. */
+  /** Writes a record at an offset; returns the offset after it. */
   writeRecord(file: string, offset: number, body: Uint8Array): number;
-  /** Reads the record at an offset. */
+  /** Reads the record at an offset; throws `corrupt_storage` if it is corruptRecord. */
   readRecord(file: string, offset: number): Buffer;
-  /** Raw bytes, for a transfer to another replica. */
+  /** Reads bytes for the transfer to another replica; fewer at the end of the file. */
   readRaw(file: string, offset: number, sizeBytes: number): Buffer;
   writeRaw(file: string, offset: number, bytes: Uint8Array): void;
-  /** Returns once everything written so far is on the disk. */
+  /** Resolves once everything written so far is on disk. */
   sync(): Promise<void>;
   remove(file: string): void;
 }
 
-/** Bytes that a record takes in its file. */
+/** Returns the size of a record in its file, including header and padding. */
 export function recordSizeBytes(bodyBytes: number): number {
   const size = RECORD_HEADER_BYTES + bodyBytes;
   return Math.ceil(size / RECORD_ALIGNMENT_BYTES) * RECORD_ALIGNMENT_BYTES;
 }
 
-/** A record as bytes: length, checksum, body, padding. */
+/** Encodes a record: length, checksum, body, padding. */
 export function encodeRecord(body: Uint8Array): Buffer {
   const record = Buffer.alloc(recordSizeBytes(body.length));
   record.writeUInt32LE(body.length, 0);
@@ -53,11 +53,11 @@
   return record;
 }
 
-/** {@link ItemFiles} in a folder on the disk. */
+/** {@link ItemFiles} in a folder on disk. */
 export class DiskItemFiles implements ItemFiles {
   private readonly folder: string;
-  private readonly open = new Map<string, number>();
-  private readonly dirty = new Set<string>();
+  private readonly openDescriptors = new Map<string, number>();
+  private readonly dirtyFiles = new Set<string>();
 
   constructor(folder: string) {
     this.folder = folder;
@@ -74,8 +74,8 @@
     const header = this.readRaw(file, offset, RECORD_HEADER_BYTES);
     const bodyBytes = header.length < RECORD_HEADER_BYTES ? 0 : header.readUInt32LE(0);
     const body = this.readRaw(file, offset + RECORD_HEADER_BYTES, bodyBytes);
-    const sound = body.length === bodyBytes && header.length === RECORD_HEADER_BYTES;
-    if (!sound || crc32(body) !== header.readUInt32LE(4)) throw damaged(file, offset);
+    const isComplete = body.length === bodyBytes && header.length === RECORD_HEADER_BYTES;
+    if (!isComplete || crc32(body) !== header.readUInt32LE(4)) throw corruptRecord(file, offset);
     return body;
   }
 
@@ -93,68 +93,68 @@
     while (written < bytes.length) {
       written += writeSync(descriptor, bytes, written, bytes.length - written, offset + written);
     }
-    this.dirty.add(file);
+    this.dirtyFiles.add(file);
   }
 
   async sync(): Promise<void> {
-    // Each file stays dirty until its own sync: a failure must not hide the files behind it.
-    for (const file of [...this.dirty]) {
-      this.dirty.delete(file);
+    // Each file stays dirty until its own sync, so that a failure does not skip the files after it.
+    for (const file of [...this.dirtyFiles]) {
+      this.dirtyFiles.delete(file);
       await this.syncFile(file);
     }
   }
 
   remove(file: string): void {
     this.close(file);
-    this.dirty.delete(file);
+    this.dirtyFiles.delete(file);
     rmSync(join(this.folder, file), { force: true });
   }
 
   /** Closes all files. */
   closeAll(): void {
-    for (const file of [...this.open.keys()]) this.close(file);
+    for (const file of [...this.openDescriptors.keys()]) this.close(file);
   }
 
   private syncFile(file: string): Promise<void> {
     return new Promise((resolve, reject) => {
       fdatasync(this.descriptor(file), (error) => {
-        const removed = !this.open.has(file);
-        if (error === null || removed) {
+        const isRemoved = !this.openDescriptors.has(file);
+        if (error === null || isRemoved) {
           resolve();
           return;
         }
-        this.dirty.add(file);
+        this.dirtyFiles.add(file);
         reject(error);
       });
     });
   }
 
   private descriptor(file: string): number {
-    const known = this.open.get(file);
+    const known = this.openDescriptors.get(file);
     if (known !== undefined) return known;
-    this.closeSomeFile();
+    this.closeFileIfTooMany();
     const descriptor = openSync(join(this.folder, file), 'a+');
     // 'a+' only creates the file; positional writes need 'r+'.
     closeSync(descriptor);
-    const usable = openSync(join(this.folder, file), 'r+');
-    this.open.set(file, usable);
-    return usable;
+    const writable = openSync(join(this.folder, file), 'r+');
+    this.openDescriptors.set(file, writable);
+    return writable;
   }
 
-  /** Only clean files are closed: a dirty one must keep its descriptor for the sync. */
-  private closeSomeFile(): void {
-    if (this.open.size < MAX_OPEN_FILES) return;
-    for (const file of this.open.keys()) {
-      if (this.dirty.has(file)) continue;
+  /** Closes a file if too many are open. Dirty files keep their descriptor for the sync. */
+  private closeFileIfTooMany(): void {
+    if (this.openDescriptors.size < MAX_OPEN_FILES) return;
+    for (const file of this.openDescriptors.keys()) {
+      if (this.dirtyFiles.has(file)) continue;
       this.close(file);
       return;
     }
   }
 
   private close(file: string): void {
-    const descriptor = this.open.get(file);
+    const descriptor = this.openDescriptors.get(file);
     if (descriptor === undefined) return;
-    this.open.delete(file);
+    this.openDescriptors.delete(file);
     closeSync(descriptor);
   }
 }
@@ -171,29 +171,29 @@
 
   readRecord(file: string, offset: number): Buffer {
     const header = this.readRaw(file, offset, RECORD_HEADER_BYTES);
-    if (header.length < RECORD_HEADER_BYTES) throw damaged(file, offset);
+    if (header.length < RECORD_HEADER_BYTES) throw corruptRecord(file, offset);
     const body = this.readRaw(file, offset + RECORD_HEADER_BYTES, header.readUInt32LE(0));
-    if (crc32(body) !== header.readUInt32LE(4)) throw damaged(file, offset);
+    if (crc32(body) !== header.readUInt32LE(4)) throw corruptRecord(file, offset);
     return body;
   }
 
   readRaw(file: string, offset: number, sizeBytes: number): Buffer {
-    const whole = this.files.get(file);
-    if (whole === undefined) return Buffer.alloc(0);
-    return whole.bytes.subarray(offset, Math.min(offset + sizeBytes, whole.sizeBytes));
+    const content = this.files.get(file);
+    if (content === undefined) return Buffer.alloc(0);
+    return content.bytes.subarray(offset, Math.min(offset + sizeBytes, content.sizeBytes));
   }
 
   writeRaw(file: string, offset: number, bytes: Uint8Array): void {
-    const whole = this.files.get(file) ?? { bytes: Buffer.alloc(0), sizeBytes: 0 };
-    this.files.set(file, whole);
+    const content = this.files.get(file) ?? { bytes: Buffer.alloc(0), sizeBytes: 0 };
+    this.files.set(file, content);
     const endOffset = offset + bytes.length;
-    if (whole.bytes.length < endOffset) {
+    if (content.bytes.length < endOffset) {
       const larger = Buffer.alloc(endOffset * 2);
-      whole.bytes.copy(larger);
-      whole.bytes = larger;
+      content.bytes.copy(larger);
+      content.bytes = larger;
     }
-    whole.bytes.set(bytes, offset);
-    whole.sizeBytes = Math.max(whole.sizeBytes, endOffset);
+    content.bytes.set(bytes, offset);
+    content.sizeBytes = Math.max(content.sizeBytes, endOffset);
   }
 
   async sync(): Promise<void> {
@@ -205,7 +205,7 @@
   }
 }
 
-function damaged(file: string, offset: number): ShedlineError {
+function corruptRecord(file: string, offset: number): ShedlineError {
   return new ShedlineError({
     type: 'corrupt_storage',
     message:
--- a/packages/storage/src/recovered-group.ts
+++ b/packages/storage/src/recovered-group.ts
@@ -1,16 +1,16 @@
 /**
- * Rebuilds what a group had synced from its snapshot and the write-ahead log.
+ * Rebuilds the synced state of a group from its snapshot and the write-ahead log.
  */
 import type { HardState, LogEntry, SnapshotPosition } from '@shedline/consensus';
 import type { GroupBatch } from './wal-record.js';
 
-/** A snapshot with the state it holds. */
+/** Snapshot of the state of a group, with its position in the log. */
 export interface StoredSnapshot {
   readonly position: SnapshotPosition;
   readonly state: Uint8Array;
 }
 
-/** Everything that a group had synced. */
+/** Synced state of a group. */
 export interface RecoveredGroup {
   readonly hardState: HardState;
   readonly snapshot: StoredSnapshot;
@@ -22,32 +22,32 @@
   state: new Uint8Array(0),
 };
 
-/** Collects the batches of one group in the order in which they were written. */
+/** Collects the batches of one group in write order. */
 export class GroupRecovery {
   private hardState: HardState = { term: 0, votedFor: '' };
   private entries: LogEntry[] = [];
 
-  /** Takes the next batch. */
+  /** Adds the next batch. */
   add(batch: GroupBatch): void {
     if (batch.hardState !== undefined) this.hardState = batch.hardState;
     const first = batch.entries[0];
     if (first === undefined) return;
-    const keep = this.entries.findIndex((entry) => entry.index >= first.index);
-    if (keep !== -1) this.entries.length = keep;
+    const keptCount = this.entries.findIndex((entry) => entry.index >= first.index);
+    if (keptCount !== -1) this.entries.length = keptCount;
     this.entries.push(...batch.entries);
   }
 
-  /** The group behind its snapshot. */
+  /** Returns the recovered state, with the entries that follow the snapshot. */
   finish(snapshot: StoredSnapshot | undefined): RecoveredGroup {
     const base = snapshot ?? EMPTY_SNAPSHOT;
     const entries: LogEntry[] = [];
-    let expected = base.position.index + 1;
+    let nextIndex = base.position.index + 1;
     for (const entry of this.entries) {
-      if (entry.index < expected) continue;
-      // Entries from before an installed snapshot do not join up with it.
-      if (entry.index > expected) break;
+      if (entry.index < nextIndex) continue;
+      // Entries written before a snapshot was installed may not be contiguous with it.
+      if (entry.index > nextIndex) break;
       entries.push(entry);
-      expected += 1;
+      nextIndex += 1;
     }
     return { hardState: this.hardState, snapshot: base, entries };
   }
--- a/packages/storage/src/storage.test.ts
+++ b/packages/storage/src/storage.test.ts
@@ -12,7 +12,7 @@
 import { MemoryItemFiles } from './item-files.js';
 import { Storage } from './storage.js';
 
-async function withFolder(
+async function withTemporaryFolder(
   work: (folder: string, files: NodeFileSystem) => Promise<void>,
 ): Promise<void> {
   const folder = await mkdtemp(join(tmpdir(), 'shedline-storage-'));
@@ -27,11 +27,11 @@
   return { index, term, kind: 'command', data: new Uint8Array([index & 255]) };
 }
 
-function indexes(storage: Storage, group = 0): number[] {
+function recoveredIndexes(storage: Storage, group = 0): number[] {
   return (storage.takeRecovered().get(group)?.entries ?? []).map((found) => found.index);
 }
 
-async function filled(files: FileSystem, count: number): Promise<void> {
+async function writeEntries(files: FileSystem, count: number): Promise<void> {
   const storage = await Storage.open({ files });
   for (let index = 1; index <= count; index += 1) {
     await storage.append({
@@ -43,8 +43,11 @@
   await storage.close();
 }
 
-/** Fills segments of a few entries each, lets a snapshot drop some, and gives the files dropped. */
-async function droppedSegments(folder: string, files: FileSystem): Promise<Map<string, Buffer>> {
+/** Fills small segments, takes a snapshot, and returns the files that it removed. */
+async function createRemovedSegments(
+  folder: string,
+  files: FileSystem,
+): Promise<Map<string, Buffer>> {
   const storage = await Storage.open({ files, maxSegmentBytes: 200 });
   const hardState = { term: 1, votedFor: 'a#1' };
   for (let index = 1; index <= 30; index += 1) {
@@ -59,7 +62,7 @@
   return new Map([...before].filter(([name]) => !left.has(name)));
 }
 
-/** A disk on which chosen operations fail. */
+/** File system on which the next appends or syncs fail. */
 class FailingFiles implements FileSystem {
   syncFailures = 0;
   appendFailures = 0;
@@ -114,18 +117,19 @@
 }
 
 describe('removed segments', () => {
-  test(title('that a power loss brings back, some of them, are ignored'), async (t) => {
-    for (const kept of ['first', 'last', 'all', 'none'] as const) {
-      await withFolder(async (folder, files) => {
-        const dropped = [...(await droppedSegments(folder, files))];
-        t.true(dropped.length >= 3);
-        const chosen = {
-          first: dropped.slice(0, 1),
-          last: dropped.slice(-1),
-          all: dropped,
+  test(title('are ignored if a power loss restores some of them'), async (t) => {
+    for (const selection of ['first', 'last', 'all', 'none'] as const) {
+      await withTemporaryFolder(async (folder, files) => {
+        const removedSegments = [...(await createRemovedSegments(folder, files))];
+        t.true(removedSegments.length >= 3);
+        const restoredSegments = {
+          first: removedSegments.slice(0, 1),
+          last: removedSegments.slice(-1),
+          all: removedSegments,
           none: [],
         };
-        for (const [name, bytes] of chosen[kept]) await writeFile(join(folder, name), bytes);
+        for (const [name, bytes] of restoredSegments[selection])
+          await writeFile(join(folder, name), bytes);
         const storage = await Storage.open({ files });
         const found = storage.takeRecovered().get(0);
         t.is(found?.snapshot.position.index, 20);
@@ -135,8 +139,8 @@
     }
   });
 
-  test(title('that no snapshot covers stop the start'), async (t) => {
-    await withFolder(async (folder, files) => {
+  test(title('that no snapshot covers prevent the start'), async (t) => {
+    await withTemporaryFolder(async (folder, files) => {
       const storage = await Storage.open({ files, maxSegmentBytes: 200 });
       for (let index = 1; index <= 30; index += 1) {
         const hardState = { term: 1, votedFor: 'a#1' };
@@ -151,37 +155,37 @@
 });
 
 describe('Storage', () => {
-  test(title('keeps every synced entry wherever the tail of the log is torn'), (t) =>
-    withFolder(async (folder, files) => {
-      await filled(files, 20);
+  test(title('recovers all entries before a torn tail, wherever the log is truncated'), (t) =>
+    withTemporaryFolder(async (folder, files) => {
+      await writeEntries(files, 20);
       const name = (await readdir(folder))[0] ?? '';
-      const whole = await readFile(join(folder, name));
+      const original = await readFile(join(folder, name));
       await fc.assert(
-        fc.asyncProperty(fc.nat(whole.length), async (sizeBytes) => {
-          await writeFile(join(folder, name), whole);
+        fc.asyncProperty(fc.nat(original.length), async (sizeBytes) => {
+          await writeFile(join(folder, name), original);
           await truncate(join(folder, name), sizeBytes);
           const storage = await Storage.open({ files });
-          const found = indexes(storage);
+          const found = recoveredIndexes(storage);
           await storage.close();
           t.deepEqual(
             found,
             Array.from({ length: found.length }, (_, i) => i + 1),
           );
-          if (sizeBytes === whole.length) t.is(found.length, 20);
+          if (sizeBytes === original.length) t.is(found.length, 20);
         }),
         { seed: 1, numRuns: 60 },
       );
     }),
   );
 
-  test(title('refuses damage in the middle and names the file and the offset'), (t) =>
-    withFolder(async (folder, files) => {
-      await filled(files, 20);
+  test(title('reports damage in the middle of a file with file name and offset'), (t) =>
+    withTemporaryFolder(async (folder, files) => {
+      await writeEntries(files, 20);
       const name = (await readdir(folder))[0] ?? '';
-      const whole = await readFile(join(folder, name));
+      const original = await readFile(join(folder, name));
       await fc.assert(
-        fc.asyncProperty(fc.nat(Math.floor(whole.length / 2)), async (offset) => {
-          const damaged = Buffer.from(whole);
+        fc.asyncProperty(fc.nat(Math.floor(original.length / 2)), async (offset) => {
+          const damaged = Buffer.from(original);
           damaged[offset] = (damaged[offset] ?? 0) ^ 0x55;
           await writeFile(join(folder, name), damaged);
           const error = await t.throwsAsync(Storage.open({ files }), { instanceOf: ShedlineError });
@@ -193,8 +197,8 @@
     }),
   );
 
-  test(title('notices a segment that is missing between two others'), (t) =>
-    withFolder(async (folder, files) => {
+  test(title('detects a segment that is missing between two others'), (t) =>
+    withTemporaryFolder(async (folder, files) => {
       const storage = await Storage.open({ files, maxSegmentBytes: 200 });
       for (let index = 1; index <= 20; index += 1)
         await storage.append({ group: 0, entries: [entry(index)] });
@@ -207,8 +211,8 @@
     }),
   );
 
-  test(title('lets a later entry replace those from its index on'), (t) =>
-    withFolder(async (_folder, files) => {
+  test(title('a later entry replaces all entries from its index on'), (t) =>
+    withTemporaryFolder(async (_folder, files) => {
       const storage = await Storage.open({ files });
       await storage.append({ group: 0, entries: [entry(1), entry(2), entry(3)] });
       await storage.append({ group: 0, entries: [entry(2, 2)] });
@@ -226,37 +230,35 @@
     }),
   );
 
-  test(
-    title('acknowledges nothing while the disk fails and loses nothing once it works again'),
-    (t) =>
-      withFolder(async (_folder, files) => {
-        await fc.assert(
-          fc.asyncProperty(fc.nat(2), fc.nat(2), async (syncFailures, appendFailures) => {
-            for (const name of await files.list()) await files.remove(name);
-            const failing = new FailingFiles(files);
-            const health: boolean[] = [];
-            const storage = await Storage.open({
-              files: failing,
-              onHealthChange: (failure) => health.push(failure === undefined),
-            });
-            await storage.append({ group: 0, entries: [entry(1)] });
-            failing.syncFailures = syncFailures;
-            failing.appendFailures = appendFailures;
-            await storage.append({ group: 0, entries: [entry(2)] });
-            await storage.append({ group: 0, entries: [entry(3)] });
-            await storage.close();
-            t.is(health.includes(false), syncFailures + appendFailures > 0);
-            const reopened = await Storage.open({ files });
-            t.deepEqual(indexes(reopened), [1, 2, 3]);
-            await reopened.close();
-          }),
-          { seed: 3, numRuns: 9 },
-        );
-      }),
+  test(title('acknowledges nothing while writes fail and loses nothing once they succeed'), (t) =>
+    withTemporaryFolder(async (_folder, files) => {
+      await fc.assert(
+        fc.asyncProperty(fc.nat(2), fc.nat(2), async (syncFailures, appendFailures) => {
+          for (const name of await files.list()) await files.remove(name);
+          const failingFiles = new FailingFiles(files);
+          const health: boolean[] = [];
+          const storage = await Storage.open({
+            files: failingFiles,
+            onHealthChange: (failure) => health.push(failure === undefined),
+          });
+          await storage.append({ group: 0, entries: [entry(1)] });
+          failingFiles.syncFailures = syncFailures;
+          failingFiles.appendFailures = appendFailures;
+          await storage.append({ group: 0, entries: [entry(2)] });
+          await storage.append({ group: 0, entries: [entry(3)] });
+          await storage.close();
+          t.is(health.includes(false), syncFailures + appendFailures > 0);
+          const reopened = await Storage.open({ files });
+          t.deepEqual(recoveredIndexes(reopened), [1, 2, 3]);
+          await reopened.close();
+        }),
+        { seed: 3, numRuns: 9 },
+      );
+    }),
   );
 
-  test(title('drops segments only once every group has a snapshot behind them'), (t) =>
-    withFolder(async (_folder, files) => {
+  test(title('removes segments only when the snapshots of all groups cover them'), (t) =>
+    withTemporaryFolder(async (_folder, files) => {
       const storage = await Storage.open({ files, maxSegmentBytes: 300 });
       const config = { voters: ['a#1'], learners: [] };
       for (let index = 1; index <= 30; index += 1) {
@@ -279,8 +281,8 @@
 });
 
 describe('lockFolder', () => {
-  test(title('keeps a second holder out until the first lets go'), (t) =>
-    withFolder(async (folder) => {
+  test(title('prevents a second lock until the first is released'), (t) =>
+    withTemporaryFolder(async (folder) => {
       const release = await lockFolder(folder);
       const error = await t.throwsAsync(lockFolder(folder), { instanceOf: ShedlineError });
       t.regex(error.message, /in use by another process/);
@@ -293,7 +295,7 @@
 });
 
 describe('ItemFiles', () => {
-  test(title('refuses a record that does not match its checksum'), (t) => {
+  test(title('rejects a record that does not match its checksum'), (t) => {
     const files = new MemoryItemFiles();
     const end = files.writeRecord('job', 0, Buffer.from('first'));
     files.writeRecord('job', end, Buffer.from('second'));
--- a/packages/storage/src/storage.ts
+++ b/packages/storage/src/storage.ts
@@ -1,6 +1,6 @@
 /**
- * Durable state of one control instance: one write-ahead log for all its groups, so that one
- * sync serves every group that waits, and one snapshot file a group.
+ * Durable state of the groups of one process: one write-ahead log for all groups, so that one sync
+ * covers all waiting groups, and the snapshot files of each group.
  */
 import { setTimeout as delay } from 'node:timers/promises';
 import { pack, unpack } from 'msgpackr';
@@ -17,14 +17,14 @@
 const SNAPSHOT_NAME = /^snapshot-(\d+)-(\d+)\.bin$/;
 const DEFAULT_MAX_SEGMENT_BYTES = 16 * 1024 * 1024;
 const RETRY_DELAY_MS = 250;
-/** Snapshots kept for each group; a transfer may still read the one before the last. */
+/** Number of snapshots kept for each group; a transfer may still read the previous snapshot. */
 const SNAPSHOTS_KEPT = 2;
 
 /** Options of {@link Storage.open}. */
 export interface StorageOptions {
   readonly files: FileSystem;
   readonly maxSegmentBytes?: number;
-  /** Called when the disk refuses a write, and with undefined once it takes writes again. */
+  /** Called with the error when a write fails, and with undefined when writes succeed again. */
   readonly onHealthChange?: (failure: ShedlineError | undefined) => void;
 }
 
@@ -34,7 +34,7 @@
   readonly lastIndexes: Map<number, number>;
 }
 
-interface Waiting {
+interface PendingBatch {
   readonly batch: GroupBatch;
   readonly resolve: () => void;
 }
@@ -49,9 +49,9 @@
   private openBytes = 0;
   private sequence = 0;
   private segmentNumber = 0;
-  private waiting: Waiting[] = [];
-  private writing = false;
-  private stopped = false;
+  private pending: PendingBatch[] = [];
+  private isWriting = false;
+  private isClosed = false;
   private failure: ShedlineError | undefined;
   private readonly hardStates = new Map<number, HardState>();
   private readonly snapshotIndexes = new Map<number, number[]>();
@@ -65,67 +65,67 @@
     this.onHealth = options.onHealthChange ?? (() => undefined);
   }
 
-  /** Reads what is on the disk. Throws `corrupt_storage` naming file and offset. */
+  /** Opens the storage and recovers its state; throws `corrupt_storage` with file and offset. */
   static async open(options: StorageOptions): Promise<Storage> {
     const storage = new Storage(options);
     await storage.recover();
     return storage;
   }
 
-  /** What each group had synced when the storage was opened; read it once. */
+  /** Returns the recovered state of each group, and drops it from memory. */
   takeRecovered(): ReadonlyMap<number, RecoveredGroup> {
     const recovered = this.recoveredGroups;
     this.recoveredGroups = new Map();
     return recovered;
   }
 
-  /** Why writes do not pass at present, if so. */
+  /** Error of the last write; undefined if writes succeed. */
   get diskFailure(): ShedlineError | undefined {
     return this.failure;
   }
 
-  /** Syncs done and bytes written since the start. */
+  /** Number of syncs and of bytes written since the start. */
   get counters(): { syncs: number; writtenBytes: number } {
     return { syncs: this.syncCount, writtenBytes: this.writtenBytes };
   }
 
-  /** Bytes of log that a restart would read, roughly. */
+  /** Number of log segments that a restart would read. */
   get segmentCount(): number {
     return this.segments.length;
   }
 
   /**
-   * Returns once the batch is synced. Batches that wait together share one sync. While the
-   * disk refuses writes the promise stays open: nothing is acknowledged, reads go on.
+   * Resolves once the batch is synced. Batches that wait together share one sync. While writes
+   * fail, the promise stays pending: nothing is acknowledged, and reads still work.
    */
   append(batch: GroupBatch): Promise<void> {
     return new Promise((resolve) => {
-      this.waiting.push({ batch, resolve });
-      if (!this.writing) void this.writeWaiting();
+      this.pending.push({ batch, resolve });
+      if (!this.isWriting) void this.writePending();
     });
   }
 
-  /** Stores a snapshot and drops log segments that all groups have behind them. */
+  /** Stores a snapshot, and removes log segments that the snapshots of all groups cover. */
   async saveSnapshot(group: number, position: SnapshotPosition, state: Uint8Array): Promise<void> {
     const body = pack([position, state]);
     await this.files.replace(snapshotName(group, position.index), encodeFrame(0, body));
     const indexes = this.snapshotIndexes.get(group) ?? [];
     indexes.push(position.index);
     while (indexes.length > SNAPSHOTS_KEPT) {
-      const old = indexes.shift();
-      if (old !== undefined) await this.files.remove(snapshotName(group, old));
+      const oldIndex = indexes.shift();
+      if (oldIndex !== undefined) await this.files.remove(snapshotName(group, oldIndex));
     }
     this.snapshotIndexes.set(group, indexes);
-    await this.dropSegments();
+    await this.removeCoveredSegments();
   }
 
-  /** The latest snapshot of a group, read from the disk. */
+  /** Reads the latest snapshot of a group from disk. */
   async readSnapshot(group: number): Promise<StoredSnapshot | undefined> {
     const index = this.snapshotIndexes.get(group)?.at(-1);
     return index === undefined ? undefined : this.loadSnapshot(snapshotName(group, index));
   }
 
-  /** Groups whose entries keep the oldest segment from being dropped. */
+  /** Returns the groups with entries in the oldest segment that no snapshot covers. */
   groupsRetainingOldestSegment(): number[] {
     const oldest = this.segments[0];
     if (oldest === undefined || this.segments.length < 2) return [];
@@ -134,24 +134,25 @@
       .map(([group]) => group);
   }
 
-  /** Small named documents, such as the identity of the instance. */
+  /** Reads a small named document, such as the member id; undefined if it does not exist. */
   async readDocument(name: string): Promise<unknown> {
     const names = await this.files.list();
     if (!names.includes(name)) return undefined;
     const frame = decodeFrame(await this.files.read(name), 0);
-    if (frame === undefined) throw corrupt(name, 0, 'the document does not match its checksum');
+    if (frame === undefined)
+      throw corruptStorage(name, 0, 'the document does not match its checksum');
     return unpack(frame.body);
   }
 
-  /** Replaces a small named document; returns once it is synced. */
+  /** Replaces a small named document; resolves once it is synced. */
   async writeDocument(name: string, value: unknown): Promise<void> {
     await this.files.replace(name, encodeFrame(0, pack(value)));
   }
 
-  /** Ends after the write under way. */
+  /** Closes the storage after the write in progress; pending batches stay unresolved. */
   async close(): Promise<void> {
-    this.stopped = true;
-    while (this.writing) await delay(1);
+    this.isClosed = true;
+    while (this.isWriting) await delay(1);
     await this.openFile?.close();
     this.openFile = undefined;
   }
@@ -160,21 +161,21 @@
     return this.snapshotIndexes.get(group)?.at(-1) ?? 0;
   }
 
-  private async writeWaiting(): Promise<void> {
-    this.writing = true;
-    while (this.waiting.length > 0 && !this.stopped) {
-      const taken = this.waiting;
-      this.waiting = [];
-      const batches = taken.map((entry) => entry.batch);
+  private async writePending(): Promise<void> {
+    this.isWriting = true;
+    while (this.pending.length > 0 && !this.isClosed) {
+      const current = this.pending;
+      this.pending = [];
+      const batches = current.map((entry) => entry.batch);
       if (!(await this.writeUntilSynced(batches))) break;
-      for (const entry of taken) entry.resolve();
+      for (const entry of current) entry.resolve();
     }
-    this.writing = false;
+    this.isWriting = false;
   }
 
-  /** Tries until the batches are synced; a failed file is never written again. */
+  /** Retries until the batches are synced; a file with a failed write is never used again. */
   private async writeUntilSynced(batches: readonly GroupBatch[]): Promise<boolean> {
-    while (!this.stopped) {
+    while (!this.isClosed) {
       try {
         await this.writeOnce(batches);
         this.setFailure(undefined);
@@ -199,10 +200,10 @@
     this.openBytes += frame.length;
     this.syncCount += 1;
     this.writtenBytes += frame.length;
-    this.note(batches);
+    this.recordBatches(batches);
   }
 
-  private note(batches: readonly GroupBatch[]): void {
+  private recordBatches(batches: readonly GroupBatch[]): void {
     const segment = this.segments.at(-1);
     for (const batch of batches) {
       if (batch.hardState !== undefined) this.hardStates.set(batch.group, batch.hardState);
@@ -211,7 +212,7 @@
     }
   }
 
-  /** A new segment begins with the hard states, so that older segments can go. */
+  /** Starts a segment with the hard states of all groups, so that older segments can be removed. */
   private async startSegment(): Promise<void> {
     await this.openFile?.close();
     this.openFile = undefined;
@@ -232,7 +233,10 @@
     this.openBytes += frame.length;
   }
 
-  /** After a failed sync the kernel may have dropped the bytes: only a new file is trusted. */
+  /**
+   * Closes the open file after a failed write. The kernel may drop data after a failed sync, so
+   * that only a new file can be trusted.
+   */
   private async abandonOpenFile(): Promise<void> {
     const file = this.openFile;
     this.openFile = undefined;
@@ -241,7 +245,7 @@
       await file.truncate(this.openBytes);
       await file.sync();
     } catch {
-      // The sequence numbers of the next segment tell recovery where this one ends.
+      // Recovery detects the end of this segment by the sequence numbers of the next segment.
     }
     await file.close().catch(() => undefined);
   }
@@ -252,7 +256,7 @@
     this.onHealth(failure);
   }
 
-  private async dropSegments(): Promise<void> {
+  private async removeCoveredSegments(): Promise<void> {
     while (this.segments.length > 1) {
       const oldest = this.segments[0];
       if (oldest === undefined || this.groupsRetainingOldestSegment().length > 0) return;
@@ -266,12 +270,12 @@
     const snapshots = await this.recoverSnapshots(names);
     const groups = new Map<number, GroupRecovery>();
     const walNames = names.filter((name) => WAL_NAME.test(name));
-    let expected: number | undefined;
+    let expectedSequence: number | undefined;
     for (const [position, name] of walNames.entries()) {
       const isLast = position === walNames.length - 1;
-      expected = await this.recoverSegment({ name, isLast, expected, groups });
+      expectedSequence = await this.recoverSegment({ name, isLast, expectedSequence, groups });
     }
-    this.sequence = (expected ?? 1) - 1;
+    this.sequence = (expectedSequence ?? 1) - 1;
     for (const group of new Set([...groups.keys(), ...snapshots.keys()])) {
       const recovery = groups.get(group) ?? new GroupRecovery();
       const recovered = recovery.finish(snapshots.get(group));
@@ -301,7 +305,8 @@
 
   private async loadSnapshot(name: string): Promise<StoredSnapshot> {
     const frame = decodeFrame(await this.files.read(name), 0);
-    if (frame === undefined) throw corrupt(name, 0, 'the snapshot does not match its checksum');
+    if (frame === undefined)
+      throw corruptStorage(name, 0, 'the snapshot does not match its checksum');
     const [position, state] = unpack(frame.body) as [SnapshotPosition, Uint8Array];
     return { position, state: new Uint8Array(state) };
   }
@@ -309,39 +314,45 @@
   private async recoverSegment(options: {
     readonly name: string;
     readonly isLast: boolean;
-    readonly expected: number | undefined;
+    readonly expectedSequence: number | undefined;
     readonly groups: Map<number, GroupRecovery>;
   }): Promise<number | undefined> {
     const { name, groups } = options;
     const buffer = await this.files.read(name);
     const segment: Segment = { name, lastIndexes: new Map() };
     let offset = 0;
-    let expected = options.expected;
+    let expectedSequence = options.expectedSequence;
     while (offset < buffer.length) {
       const frame = decodeFrame(buffer, offset);
       if (frame === undefined) {
-        if (hasFrameAfter(buffer, offset)) throw corrupt(name, offset, 'a frame is damaged');
+        if (hasFrameAfter(buffer, offset)) throw corruptStorage(name, offset, 'a frame is damaged');
         if (options.isLast) await this.files.truncate(name, offset);
         break;
       }
-      // A segment begun after a failed write may repeat the number of the frame given up.
-      const repeats = offset === 0 && expected !== undefined && frame.sequence < expected;
-      const isGap = expected !== undefined && frame.sequence !== expected && !repeats;
-      if (isGap && offset === 0 && this.areSegmentsCovered()) {
-        await this.forgetSegments(groups);
-      } else if (isGap) {
-        throw corrupt(name, offset, `frame ${expected} is missing, found ${frame.sequence}`);
+      // A segment started after a failed write may repeat the sequence number of the failed frame.
+      const isRepeated =
+        offset === 0 && expectedSequence !== undefined && frame.sequence < expectedSequence;
+      const hasGap =
+        expectedSequence !== undefined && frame.sequence !== expectedSequence && !isRepeated;
+      if (hasGap && offset === 0 && this.areSegmentsCovered()) {
+        await this.discardSegments(groups);
+      } else if (hasGap) {
+        throw corruptStorage(
+          name,
+          offset,
+          `frame ${expectedSequence} is missing, found ${frame.sequence}`,
+        );
       }
       this.replay(frame.body, segment, groups);
-      expected = frame.sequence + 1;
+      expectedSequence = frame.sequence + 1;
       offset = frame.endOffset;
     }
     this.segments.push(segment);
     this.segmentNumber = Number(WAL_NAME.exec(name)?.[1] ?? 0);
-    return expected;
+    return expectedSequence;
   }
 
-  /** Whether the snapshots hold all that the segments read so far do. */
+  /** Whether the snapshots cover all entries in the segments that were read so far. */
   private areSegmentsCovered(): boolean {
     return this.segments.every(({ lastIndexes }) =>
       [...lastIndexes].every(([group, lastIndex]) => lastIndex <= this.snapshotIndexOf(group)),
@@ -349,10 +360,10 @@
   }
 
   /**
-   * Removes segments that had been removed before: a power loss may bring some of several
-   * removed files back, which leaves a gap between them and those in use.
+   * Discards the segments read so far. They were removed before, but a power loss can restore some
+   * of several removed files, which leaves a gap between them and the segments in use.
    */
-  private async forgetSegments(groups: Map<number, GroupRecovery>): Promise<void> {
+  private async discardSegments(groups: Map<number, GroupRecovery>): Promise<void> {
     for (const { name } of this.segments) await this.files.remove(name);
     this.segments = [];
     groups.clear();
@@ -373,12 +384,12 @@
   return `snapshot-${group}-${String(index).padStart(15, '0')}.bin`;
 }
 
-function corrupt(name: string, offset: number, reason: string): ShedlineError {
+function corruptStorage(name: string, offset: number, reason: string): ShedlineError {
   return new ShedlineError({
     type: 'corrupt_storage',
     message:
       `${name} at offset ${offset}: ${reason}. Move the data folder aside and start empty: ` +
-      'the instance comes back as a new learner and copies the state from its peers.',
+      'the instance rejoins as a new learner and copies the state from its peers.',
     step: 'recover',
     peer: name,
   });
--- a/packages/storage/src/wal-record.ts
+++ b/packages/storage/src/wal-record.ts
@@ -1,21 +1,21 @@
 /**
- * Contents of the frames of the write-ahead log.
+ * Encodes and decodes the bodies of the frames of the write-ahead log.
  */
 import { pack, unpack } from 'msgpackr';
 import type { EntryKind, GroupConfig, HardState, LogEntry } from '@shedline/consensus';
 
-/** What one group wants synced. */
+/** Raft state of one group to be synced. */
 export interface GroupBatch {
   readonly group: number;
   readonly hardState?: HardState | undefined;
-  /** Replace all stored entries from the first one's index on. */
+  /** Entries that replace all stored entries from the index of the first on. */
   readonly entries: readonly LogEntry[];
 }
 
 type PackedEntry = [number, number, EntryKind, Uint8Array, GroupConfig | null];
 type PackedBatch = [number, [number, string] | null, PackedEntry[]];
 
-/** Batches as the body of a frame. */
+/** Encodes batches as the body of a frame. */
 export function encodeBatches(batches: readonly GroupBatch[]): Buffer {
   const packed = batches.map((batch): PackedBatch => {
     const hardState = batch.hardState;
@@ -28,7 +28,7 @@
   return pack(packed);
 }
 
-/** The batches of a frame's body. */
+/** Decodes the batches in the body of a frame. */
 export function decodeBatches(body: Buffer): GroupBatch[] {
   const packed = unpack(body) as PackedBatch[];
   return packed.map(([group, hardState, entries]) => ({
