--- a/packages/fencing/src/index.ts
+++ b/packages/fencing/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * Orders to endpoints: fencing numbers, leases and rate limits.
+ * Orders to endpoints, with fencing numbers and leases.
  */
 export * from './order-gate.js';
 export * from './orders.js';
--- a/packages/fencing/src/order-gate.ts
+++ b/packages/fencing/src/order-gate.ts
@@ -1,31 +1,31 @@
 /**
- * Who may give orders to endpoints, and when.
+ * Decides when an instance may send orders to endpoints.
  *
- * The leader of the table group gives orders. Each leadership has a fencing number from the
- * log. Endpoints that check it refuse an older holder by themselves. For the others two
- * waits make holders exclusive: a holder stops once it has not been confirmed by a quorum for
- * the lease less the drift, and a successor waits out the lease, the drift and the time-out
- * of an order that may still be under way.
+ * Only the leader of the table group sends orders. Each leadership has a fencing number from the
+ * log, and endpoints that check fencing numbers reject orders of an earlier holder. For other
+ * endpoints two waits keep holders exclusive. A holder stops if no quorum has confirmed it for the
+ * lease minus the clock drift. A successor first waits for the lease, plus the timeout of an order
+ * that may still be in progress, plus the clock drift.
  */
 
 /** Options of {@link OrderGate}. */
 export interface OrderGateOptions {
-  /** Time that a confirmation by a quorum lasts. */
+  /** Time for which a confirmation by a quorum is valid. */
   readonly leaseMs?: number;
-  /** Longest time that an order stays under way. */
+  /** Maximum time for which an order is in progress. */
   readonly orderTimeoutMs?: number;
-  /** Bound on the difference in rate of two monotonic clocks. */
+  /** Maximum relative difference in rate of two monotonic clocks. */
   readonly maxDriftShare?: number;
 }
 
 /** Default lease of the order holder. */
 export const DEFAULT_ORDER_LEASE_MS = 3000;
-/** Default time-out of one order. */
+/** Default timeout of an order. */
 export const DEFAULT_ORDER_TIMEOUT_MS = 2000;
-/** Default bound on clock drift: one part in a hundred. */
+/** Default maximum clock drift: 1 %. */
 export const DEFAULT_MAX_DRIFT_SHARE = 0.01;
 
-/** Decides whether this instance may give orders now. */
+/** Lease and fencing number of this instance for sending orders. */
 export class OrderGate {
   private readonly leaseMs: number;
   private readonly orderTimeoutMs: number;
@@ -40,41 +40,44 @@
     this.maxDriftShare = options.maxDriftShare ?? DEFAULT_MAX_DRIFT_SHARE;
   }
 
-  /** Fencing number of this holder; zero while it holds nothing. */
+  /** Fencing number of this instance; zero if it is not the holder. */
   get fencingNumber(): number {
     return this.heldSinceMs === undefined ? 0 : this.fencing;
   }
 
-  /** Notes that the log gave this instance a fencing number. */
+  /** Records that this instance became the holder with the given fencing number. */
   acquired(fencingNumber: number, nowMs: number): void {
     this.fencing = fencingNumber;
     this.heldSinceMs = nowMs;
   }
 
-  /** Notes that a quorum confirmed the leadership as of `askedAtMs`, when it was asked. */
-  confirmed(askedAtMs: number): void {
-    this.confirmedAtMs = Math.max(this.confirmedAtMs, askedAtMs);
+  /** Records that a quorum confirmed the leadership, as of the time of the request. */
+  confirmed(requestedAtMs: number): void {
+    this.confirmedAtMs = Math.max(this.confirmedAtMs, requestedAtMs);
   }
 
-  /** Notes that the leadership is lost. */
+  /** Records that the leadership was lost. */
   lost(): void {
     this.heldSinceMs = undefined;
     this.confirmedAtMs = -Infinity;
   }
 
-  /** Whether an order may be sent now; `checksFencing` says what the endpoint does. */
+  /**
+   * Returns whether an order may be sent now. `checksFencing` is whether the endpoint checks
+   * fencing numbers.
+   */
   maySendOrder(nowMs: number, checksFencing: boolean): boolean {
     if (this.heldSinceMs === undefined) return false;
     if (!this.holdsLease(nowMs)) return false;
     return checksFencing || nowMs >= this.heldSinceMs + this.successorWaitMs();
   }
 
-  /** Time that a successor waits before its first order to an endpoint that does not check. */
+  /** Wait of a new holder before its first order to an endpoint that does not check fencing. */
   protected successorWaitMs(): number {
     return (this.leaseMs + this.orderTimeoutMs) * (1 + this.maxDriftShare);
   }
 
-  /** An order counts as under way for the order time-out, which the successor waits too. */
+  /** Sent orders may outlast the lease by the order timeout; the successor waits for that, too. */
   private holdsLease(nowMs: number): boolean {
     return nowMs < this.confirmedAtMs + this.leaseMs * (1 - this.maxDriftShare);
   }
--- a/packages/fencing/src/orders.ts
+++ b/packages/fencing/src/orders.ts
@@ -1,42 +1,42 @@
 /**
- * Orders to endpoints as replicated state: what is asked for, under way and done.
+ * Replicated state of the orders to endpoints.
  */
 import { match } from 'ts-pattern';
 import { pack, unpack } from 'msgpackr';
 
-/** What an order asks of an endpoint. */
+/** Action that an order requests from an endpoint. */
 export type OrderKind = 'loadModel' | 'loadAdapter' | 'changeRole';
 
-/** Where an order stands. */
+/** State of an order; `done` and `failed` are final. */
 export type OrderState = 'waiting' | 'sent' | 'done' | 'failed';
 
-/** An order with its history. */
+/** Order with its state. */
 export interface Order {
   readonly orderId: string;
   readonly endpointId: string;
   readonly url: string;
   readonly checksFencing: boolean;
   readonly kind: OrderKind;
-  /** Model, adapter or role that the order names. */
+  /** Model, adapter or role to which the order applies. */
   readonly subject: string;
   readonly state: OrderState;
   readonly fencingNumber: number;
   readonly detail: string;
 }
 
-/** Asks for an order; a resent id changes nothing. */
+/** Places an order; has no effect if its id is known. */
 export interface PlaceOrder {
   readonly type: 'placeOrder';
   readonly order: Omit<Order, 'state' | 'fencingNumber' | 'detail'>;
 }
 
-/** Gives the next fencing number to a holder. */
+/** Assigns the next fencing number to a holder. */
 export interface ClaimOrders {
   readonly type: 'claimOrders';
   readonly holder: string;
 }
 
-/** Moves an order on; refused for a holder whose fencing number is no longer the newest. */
+/** Changes the state of an order; rejected unless the fencing number is the latest. */
 export interface MoveOrder {
   readonly type: 'moveOrder';
   readonly orderId: string;
@@ -45,10 +45,10 @@
   readonly detail: string;
 }
 
-/** Any command on orders. */
+/** Command on orders. */
 export type OrderCommand = PlaceOrder | ClaimOrders | MoveOrder;
 
-/** Answer to a command on orders. */
+/** Result of a command on orders. */
 export interface OrderAnswer {
   readonly ok: boolean;
   readonly fencingNumber: number;
@@ -63,25 +63,25 @@
   readonly orders: readonly Order[];
 }
 
-/** Replicated orders and the newest fencing number. */
+/** Orders and the latest fencing number. */
 export class Orders {
   private fencingNumber = 0;
   private holder = '';
   private orders = new Map<string, Order>();
 
-  /** Orders that are not ended. */
+  /** Orders that are waiting or sent. */
   get open(): Order[] {
     return [...this.orders.values()].filter(
       (order) => order.state === 'waiting' || order.state === 'sent',
     );
   }
 
-  /** All orders remembered. */
+  /** All orders, including recently ended orders. */
   get all(): Order[] {
     return [...this.orders.values()];
   }
 
-  /** Applies a command at a log index; fencing numbers are log indexes and only grow. */
+  /** Applies a command. Fencing numbers derive from log indexes, so that they only increase. */
   apply(command: OrderCommand, logIndex: number): OrderAnswer {
     return match(command)
       .with({ type: 'placeOrder' }, (c) => this.place(c))
@@ -90,7 +90,7 @@
       .exhaustive();
   }
 
-  /** The state as bytes. */
+  /** Encodes the state. */
   snapshot(): Uint8Array {
     const data: OrdersData = {
       fencingNumber: this.fencingNumber,
@@ -100,7 +100,7 @@
     return pack(data);
   }
 
-  /** Takes the place of what is here. */
+  /** Replaces the state by an encoded state. */
   restore(state: Uint8Array): void {
     const data = unpack(state) as OrdersData;
     this.fencingNumber = data.fencingNumber;
@@ -109,47 +109,47 @@
   }
 
   private place(command: PlaceOrder): OrderAnswer {
-    const known = this.orders.get(command.order.orderId) ?? this.sameUnderWay(command.order);
-    if (known !== undefined) return this.answer(true, known);
+    const known = this.orders.get(command.order.orderId) ?? this.findOpenDuplicate(command.order);
+    if (known !== undefined) return this.createResult(true, known);
     const order: Order = { ...command.order, state: 'waiting', fencingNumber: 0, detail: '' };
     this.orders.set(order.orderId, order);
-    this.forgetEnded();
-    return this.answer(true, order);
+    this.removeOldEndedOrders();
+    return this.createResult(true, order);
   }
 
-  /** The same load asked for twice is one order as long as the first is under way. */
-  private sameUnderWay(asked: PlaceOrder['order']): Order | undefined {
+  /** Returns an open order with the same content, so that it is not placed twice. */
+  private findOpenDuplicate(requested: PlaceOrder['order']): Order | undefined {
     return this.open.find(
       (order) =>
-        order.endpointId === asked.endpointId &&
-        order.kind === asked.kind &&
-        order.subject === asked.subject,
+        order.endpointId === requested.endpointId &&
+        order.kind === requested.kind &&
+        order.subject === requested.subject,
     );
   }
 
   private claim(command: ClaimOrders, logIndex: number): OrderAnswer {
     this.fencingNumber = Math.max(this.fencingNumber + 1, logIndex);
     this.holder = command.holder;
-    return this.answer(true);
+    return this.createResult(true);
   }
 
   private move(command: MoveOrder): OrderAnswer {
     const order = this.orders.get(command.orderId);
-    if (order === undefined) return this.answer(false);
-    if (command.fencingNumber !== this.fencingNumber) return this.answer(false, order);
-    if (order.state === 'done' || order.state === 'failed') return this.answer(false, order);
+    if (order === undefined) return this.createResult(false);
+    if (command.fencingNumber !== this.fencingNumber) return this.createResult(false, order);
+    if (order.state === 'done' || order.state === 'failed') return this.createResult(false, order);
     const { state, detail, fencingNumber } = command;
-    const moved = { ...order, state, detail, fencingNumber };
-    this.orders.set(order.orderId, moved);
-    return this.answer(true, moved);
+    const updated = { ...order, state, detail, fencingNumber };
+    this.orders.set(order.orderId, updated);
+    return this.createResult(true, updated);
   }
 
-  private answer(ok: boolean, order?: Order): OrderAnswer {
+  private createResult(ok: boolean, order?: Order): OrderAnswer {
     const { fencingNumber } = this;
     return order === undefined ? { ok, fencingNumber } : { ok, fencingNumber, order };
   }
 
-  private forgetEnded(): void {
+  private removeOldEndedOrders(): void {
     const ended = this.all.filter((order) => order.state === 'done' || order.state === 'failed');
     for (const order of ended.slice(0, Math.max(0, ended.length - MAX_ENDED_ORDERS))) {
       this.orders.delete(order.orderId);
