--- a/packages/table/src/commands.ts
+++ b/packages/table/src/commands.ts
@@ -1,14 +1,14 @@
 /**
- * Edits of the table and their answers.
+ * Edits of the table, their results, and table deltas.
  */
 import type { ServiceRow } from '@shedline/types';
 import type { RowChange } from './fields.js';
 
-/** Changes fields of one row, or makes the row. */
+/** Changes fields of a row, or creates the row. */
 export interface EditRow {
   readonly type: 'editRow';
   readonly editId: string;
-  /** Hash of what the edit asks for, to tell a resend from another edit under its id. */
+  /** Hash of the edit, to distinguish a retry from another edit with the same id. */
   readonly contentHash: string;
   readonly expectedRevision: number;
   readonly workspace: string;
@@ -30,19 +30,19 @@
   }[];
 }
 
-/** Any edit. */
+/** Edit of the table. */
 export type TableCommand = EditRow | ReplaceTable;
 
-/** The edit is in the table. */
+/** Result of an edit that was applied. */
 export interface EditAccepted {
   readonly outcome: 'accepted';
   readonly revision: number;
-  /** The row of a row edit. */
+  /** Row after a row edit. */
   readonly row?: ServiceRow;
   readonly changedRows: number;
 }
 
-/** Another edit came first; carries the row as it is. */
+/** Result of an edit that lost against a concurrent edit; `row` is the current row. */
 export interface EditConflict {
   readonly outcome: 'conflict';
   readonly revision: number;
@@ -50,16 +50,16 @@
   readonly row?: ServiceRow;
 }
 
-/** The edit can never be accepted as it is. */
+/** Result of an edit that is invalid and would be rejected again. */
 export interface EditInvalid {
   readonly outcome: 'invalid';
   readonly message: string;
 }
 
-/** Answer to an edit. */
+/** Result of an edit. */
 export type EditAnswer = EditAccepted | EditConflict | EditInvalid;
 
-/** Changes since a revision, or the whole table where the changes are no longer known. */
+/** Changes since a revision, or the whole table if the changes are no longer known. */
 export interface TableDelta {
   readonly kind: 'delta' | 'snapshot';
   readonly fromRevision: number;
--- a/packages/table/src/fields.ts
+++ b/packages/table/src/fields.ts
@@ -1,5 +1,5 @@
 /**
- * Checks of what operators write into rows.
+ * Validates the fields of rows in edits and table files.
  */
 import { z } from 'zod';
 import { ShedlineError } from '@shedline/errors';
@@ -8,26 +8,29 @@
 
 const NAME_PATTERN = /^[a-z0-9][a-z0-9-]{0,62}$/;
 const name = z.string().regex(NAME_PATTERN, 'use lower-case letters, digits and hyphens');
-const positive = z.number().positive();
-const share = z.number().min(0).max(1);
+const positiveNumber = z.number().positive();
+const fraction = z.number().min(0).max(1);
 
 const limitsSchema = z.strictObject({
-  requestsPerSecond: positive,
-  concurrentRequests: positive,
-  tokensPerSecond: positive,
+  requestsPerSecond: positiveNumber,
+  concurrentRequests: positiveNumber,
+  tokensPerSecond: positiveNumber,
+});
+const batchSchema = z.strictObject({ floorShare: fraction, ceilingShare: fraction });
+const targetsSchema = z.strictObject({
+  firstTokenMs: positiveNumber,
+  betweenTokensMs: positiveNumber,
 });
-const batchSchema = z.strictObject({ floorShare: share, ceilingShare: share });
-const targetsSchema = z.strictObject({ firstTokenMs: positive, betweenTokensMs: positive });
 
 const fieldsSchema = z.strictObject({
   kind: z.enum(['engine', 'plain']),
-  weight: positive,
+  weight: positiveNumber,
   models: z.array(z.string().min(1)),
   idempotent: z.boolean(),
   limits: limitsSchema,
   batch: batchSchema,
   targets: targetsSchema,
-  defaultDeadlineMs: positive,
+  defaultDeadlineMs: positiveNumber,
   pastDue: z.enum(['continue', 'stop']),
 });
 
@@ -43,27 +46,27 @@
   rows: z.array(z.strictObject({ workspace: name, service: name, ...changeSchema.shape })),
 });
 
-/** The fields of a row that an edit changes. */
+/** Fields of a row that an edit changes. */
 export type RowChange = z.infer<typeof changeSchema>;
-/** A whole table as it is kept in version control. */
+/** Contents of a table file, which holds the whole table. */
 export type TableFile = z.infer<typeof tableFileSchema>;
 
-/** Checks the body of an edit; throws an error that names the field. */
+/** Validates the body of an edit; throws `invalid_request` with the field name. */
 export function parseRowChange(value: unknown): RowChange {
   return parse(changeSchema, value, 'check edit');
 }
 
-/** Checks a table file; throws an error that names the field. */
+/** Validates a table file; throws `invalid_request` with the field name. */
 export function parseTableFile(value: unknown): TableFile {
   return parse(tableFileSchema, value, 'check table file');
 }
 
-/** Whether a text can name a workspace or a service. */
+/** Whether a string is a valid name of a workspace or a service. */
 export function isName(value: string): boolean {
   return NAME_PATTERN.test(value);
 }
 
-/** A row's fields after a change. */
+/** Returns the fields of a row after a change; fields that are not set keep their value. */
 export function mergeFields(before: RowFields | undefined, change: RowChange): RowFields {
   const base = before ?? DEFAULT_ROW_FIELDS;
   return {
@@ -79,7 +82,7 @@
   };
 }
 
-/** What is wrong with a row as part of the whole table; undefined where nothing is. */
+/** Returns the first problem of a row within its table, or undefined if it is valid. */
 export function rowProblem(fields: RowFields, models: readonly string[]): string | undefined {
   const unknown = fields.models.find((model) => !models.includes(model));
   if (unknown !== undefined) {
--- a/packages/table/src/index.ts
+++ b/packages/table/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * The table of weights and limits.
+ * Replicated table of the weights and limits of services.
  */
 export * from './commands.js';
 export * from './fields.js';
--- a/packages/table/src/revision-tracker.ts
+++ b/packages/table/src/revision-tracker.ts
@@ -1,11 +1,11 @@
 /**
- * Which entries have which revision in force, as the leader of the table group hears it.
+ * Tracks on the leader of the table group which entries have applied which revision.
  */
 
-/** Time after which a silent entry no longer counts: by then it has withdrawn itself. */
+/** Time without a status after which an entry is ignored; by then it has stopped serving. */
 export const DEFAULT_ENTRY_LEASE_MS = 12_000;
 
-/** What an entry says of itself when it looks at the table. */
+/** Status that an entry sends with each poll of the table. */
 export interface EntryStatus {
   readonly entry: string;
   readonly url: string;
@@ -16,61 +16,64 @@
   readonly load: number;
 }
 
-/** Where a revision is in force. */
+/** Entries that have applied a revision, and entries that have not. */
 export interface InForceReport {
   readonly revision: number;
-  /** `unknown` for a while after a change of leader, until all entries have been heard. */
+  /**
+   * Whether all live entries have applied the revision. `unknown` until an entry lease has passed
+   * since the leader was elected, because some entries may not have sent their status yet.
+   */
   readonly inForce: 'yes' | 'no' | 'unknown';
   readonly confirmed: readonly string[];
   readonly missing: readonly string[];
 }
 
-interface HeardEntry {
+interface ReceivedStatus {
   readonly status: EntryStatus;
-  readonly heardAtMs: number;
+  readonly receivedAtMs: number;
 }
 
-/** Confirmations of entries. */
+/** Latest status of each entry. */
 export class RevisionTracker {
   private readonly entryLeaseMs: number;
-  private readonly heard = new Map<string, HeardEntry>();
+  private readonly statuses = new Map<string, ReceivedStatus>();
   private leadingSinceMs = Infinity;
 
   constructor(options: { readonly entryLeaseMs?: number } = {}) {
     this.entryLeaseMs = options.entryLeaseMs ?? DEFAULT_ENTRY_LEASE_MS;
   }
 
-  /** Starts anew on a new leader. */
+  /** Discards all statuses, when a leader is elected. */
   reset(nowMs: number): void {
-    this.heard.clear();
+    this.statuses.clear();
     this.leadingSinceMs = nowMs;
   }
 
-  /** Notes what an entry said. */
+  /** Records the status of an entry. Its revision never decreases. */
   recordStatus(status: EntryStatus, nowMs: number): void {
-    const known = this.heard.get(status.entry)?.status.revision ?? -1;
+    const known = this.statuses.get(status.entry)?.status.revision ?? -1;
     const revision = Math.max(known, status.revision);
-    this.heard.set(status.entry, { status: { ...status, revision }, heardAtMs: nowMs });
+    this.statuses.set(status.entry, { status: { ...status, revision }, receivedAtMs: nowMs });
   }
 
-  /** Entries that hold their lease. */
+  /** Returns the entries whose lease is valid, and removes the others. */
   liveEntries(nowMs: number): EntryStatus[] {
-    for (const [entry, { heardAtMs }] of this.heard) {
-      if (nowMs - heardAtMs > this.entryLeaseMs) this.heard.delete(entry);
+    for (const [entry, { receivedAtMs }] of this.statuses) {
+      if (nowMs - receivedAtMs > this.entryLeaseMs) this.statuses.delete(entry);
     }
-    return [...this.heard.values()].map((heard) => heard.status);
+    return [...this.statuses.values()].map((received) => received.status);
   }
 
-  /** Where a revision is in force. */
+  /** Returns which live entries have applied a revision. */
   report(revision: number, nowMs: number): InForceReport {
     const live = this.liveEntries(nowMs);
     const confirmed = live.filter((status) => status.revision >= revision);
     const missing = live.filter((status) => status.revision < revision);
-    const heardAll = nowMs - this.leadingSinceMs >= this.entryLeaseMs;
-    const settled = heardAll ? 'yes' : 'unknown';
+    const hasFullLeasePassed = nowMs - this.leadingSinceMs >= this.entryLeaseMs;
+    const resultIfNoneMissing = hasFullLeasePassed ? 'yes' : 'unknown';
     return {
       revision,
-      inForce: missing.length > 0 ? 'no' : settled,
+      inForce: missing.length > 0 ? 'no' : resultIfNoneMissing,
       confirmed: confirmed.map((status) => status.entry),
       missing: missing.map((status) => status.entry),
     };
--- a/packages/table/src/table-view.ts
+++ b/packages/table/src/table-view.ts
@@ -1,16 +1,16 @@
 /**
- * The table as an entry sees it: fed by deltas, never going back.
+ * Copy of the table in an entry, updated by deltas.
  */
 import { rowKey } from '@shedline/types';
 import type { ServiceRow } from '@shedline/types';
 import type { TableDelta } from './commands.js';
 
-/** Rows at the highest revision ever seen. */
+/** Table at the highest revision received; the revision never decreases. */
 export class TableView {
   private currentRevision = -1;
   private rowsByKey = new Map<string, ServiceRow>();
 
-  /** Highest revision seen; -1 before the first. */
+  /** Highest revision received; -1 before the first. */
   get revision(): number {
     return this.currentRevision;
   }
@@ -20,12 +20,12 @@
     return [...this.rowsByKey.values()];
   }
 
-  /** A row by its key. */
+  /** Returns a row by its key. */
   row(key: string): ServiceRow | undefined {
     return this.rowsByKey.get(key);
   }
 
-  /** The whole table for a peer, or nothing where the peer has it already. */
+  /** Returns the whole table for a peer, or an empty delta if the peer is up to date. */
   deltaFor(fromRevision: number): TableDelta {
     const revision = this.currentRevision;
     const common = { fromRevision, revision, models: [], removed: [] };
@@ -33,7 +33,7 @@
     return { ...common, kind: 'snapshot', rows: this.rows };
   }
 
-  /** Takes a delta; an older one, or one that leaves a gap, changes nothing. */
+  /** Applies a delta; returns false if it is outdated or would leave a gap. */
   apply(delta: TableDelta): boolean {
     if (delta.revision < this.currentRevision) return false;
     if (delta.kind === 'delta' && delta.fromRevision > this.currentRevision) return false;
@@ -44,7 +44,7 @@
     return true;
   }
 
-  /** A delta may begin before what is here: then a row may be older than the one known. */
+  /** Stores a row unless it is outdated: a delta may start before the current revision. */
   private put(row: ServiceRow): void {
     const key = rowKey(row.workspace, row.service);
     const known = this.rowsByKey.get(key);
--- a/packages/table/src/table.test.ts
+++ b/packages/table/src/table.test.ts
@@ -31,40 +31,43 @@
   };
 }
 
-function started(maxRememberedEdits?: number): Table {
+function createTable(maxRememberedEdits?: number): Table {
   const table = new Table(maxRememberedEdits === undefined ? {} : { maxRememberedEdits });
   table.apply(START);
   return table;
 }
 
 describe('Table', () => {
-  test(title('of two edits with equal revisions one wins and the other sees the row'), (t) => {
-    const table = started();
-    t.is(table.apply(edit('e1', 'a', 2, 1)).outcome, 'accepted');
-    t.like(table.apply(edit('e2', 'a', 3, 1)), {
-      outcome: 'conflict',
-      row: { weight: 2, revision: 2 },
-    });
-    t.is(table.apply(edit('e3', 'b', 3, 1)).outcome, 'accepted');
-  });
+  test(
+    title('of two edits with the same revision one is applied and the other gets the row'),
+    (t) => {
+      const table = createTable();
+      t.is(table.apply(edit('e1', 'a', 2, 1)).outcome, 'accepted');
+      t.like(table.apply(edit('e2', 'a', 3, 1)), {
+        outcome: 'conflict',
+        row: { weight: 2, revision: 2 },
+      });
+      t.is(table.apply(edit('e3', 'b', 3, 1)).outcome, 'accepted');
+    },
+  );
 
-  test(title('a resent edit gets its first answer after any other edits and a restart'), (t) => {
-    const anEdit = fc.record({
+  test(title('a retried edit gets its first result after other edits and a restart'), (t) => {
+    const editArbitrary = fc.record({
       service: fc.constantFrom('a', 'b', 'c'),
       weight: fc.integer({ min: 1, max: 9 }),
-      behind: fc.nat(3),
-      resend: fc.nat(20),
+      revisionLag: fc.nat(3),
+      retryPick: fc.nat(20),
     });
     fc.assert(
       fc.property(
-        fc.array(anEdit, { minLength: 1, maxLength: 60 }),
+        fc.array(editArbitrary, { minLength: 1, maxLength: 60 }),
         fc.nat(60),
         (edits, restartAt) => {
-          let table = started();
+          let table = createTable();
           const sent: EditRow[] = [];
-          const answers: EditAnswer[] = [];
+          const results: EditAnswer[] = [];
           let lastRevision = table.revision;
-          for (const [position, { service, weight, behind, resend }] of edits.entries()) {
+          for (const [position, { service, weight, revisionLag, retryPick }] of edits.entries()) {
             if (position === restartAt) {
               const restored = new Table();
               restored.restore(table.snapshot());
@@ -74,16 +77,17 @@
               `e${position}`,
               service,
               weight,
-              Math.max(0, table.revision - behind),
+              Math.max(0, table.revision - revisionLag),
             );
             sent.push(command);
-            answers.push(table.apply(command));
-            const again = sent[resend % sent.length];
-            if (again !== undefined) t.deepEqual(table.apply(again), answers[resend % sent.length]);
+            results.push(table.apply(command));
+            const retried = sent[retryPick % sent.length];
+            if (retried !== undefined)
+              t.deepEqual(table.apply(retried), results[retryPick % sent.length]);
             t.true(table.revision >= lastRevision);
             lastRevision = table.revision;
           }
-          const accepted = answers.filter((answer) => answer.outcome === 'accepted');
+          const accepted = results.filter((result) => result.outcome === 'accepted');
           t.is(table.revision, 1 + accepted.length);
         },
       ),
@@ -91,24 +95,27 @@
     );
   });
 
-  test(title('an edit too old to be told from a resend is refused, never run twice'), (t) => {
-    const table = started(10);
-    const old = edit('old', 'a', 5, 1);
-    t.is(table.apply(old).outcome, 'accepted');
-    for (let n = 0; n < 20; n += 1) table.apply(edit(`n${n}`, 'b', 1 + n, table.revision));
-    const revision = table.revision;
-    t.like(table.apply(old), { outcome: 'invalid' });
-    t.is(table.revision, revision);
-  });
+  test(
+    title('an edit too old to be recognised as a retry is rejected and not applied twice'),
+    (t) => {
+      const table = createTable(10);
+      const old = edit('old', 'a', 5, 1);
+      t.is(table.apply(old).outcome, 'accepted');
+      for (let n = 0; n < 20; n += 1) table.apply(edit(`n${n}`, 'b', 1 + n, table.revision));
+      const revision = table.revision;
+      t.like(table.apply(old), { outcome: 'invalid' });
+      t.is(table.revision, revision);
+    },
+  );
 
-  test(title('an edit id that was used for another edit is refused'), (t) => {
-    const table = started();
+  test(title('an edit id that was used for another edit is rejected'), (t) => {
+    const table = createTable();
     table.apply(edit('e', 'a', 2, 1));
     t.like(table.apply(edit('e', 'b', 2, 1)), { outcome: 'invalid' });
   });
 
-  test(title('checks an edit against the whole table and names the field'), (t) => {
-    const table = started();
+  test(title('validates an edit against the whole table and reports the field'), (t) => {
+    const table = createTable();
     const unknown = { ...edit('e', 'a', 2, 1), change: { models: ['nope'] } };
     t.like(table.apply(unknown), {
       outcome: 'invalid',
@@ -121,8 +128,8 @@
     });
   });
 
-  test(title('applies a whole file as one edit, or not at all when the table moved on'), (t) => {
-    const table = started();
+  test(title('applies a file as one edit, or not at all if the table has changed'), (t) => {
+    const table = createTable();
     const rows = [{ workspace: 'w', service: 'a', change: { models: ['m'], weight: 4 } }];
     const file: TableCommand = {
       ...START,
@@ -139,38 +146,41 @@
 });
 
 describe('TableView', () => {
-  test(title('never goes back, whatever order the deltas come in, and ends at the table'), (t) => {
-    const order = fc.array(fc.nat(), { minLength: 30, maxLength: 30 });
-    fc.assert(
-      fc.property(order, (picks) => {
-        const table = started();
-        const deltas = [table.deltaSince(-1)];
-        for (let n = 0; n < 15; n += 1) {
-          table.apply(edit(`e${n}`, ['a', 'b', 'c'][n % 3] ?? 'a', n + 2, table.revision));
-          deltas.push(table.deltaSince(Math.max(0, table.revision - 1 - (n % 4))));
-        }
-        const view = new TableView();
-        let last = -1;
-        for (const pick of picks) {
-          const delta = deltas[pick % deltas.length];
-          if (delta !== undefined) view.apply(delta);
-          t.true(view.revision >= last);
-          last = view.revision;
-        }
-        view.apply(table.deltaSince(view.revision));
-        t.deepEqual([...view.rows].sort(byService), [...table.rows].sort(byService));
-      }),
-      { seed: SEED, numRuns: 100 },
-    );
-  });
+  test(
+    title('never decreases its revision for any order of deltas, and converges to the table'),
+    (t) => {
+      const deltaOrder = fc.array(fc.nat(), { minLength: 30, maxLength: 30 });
+      fc.assert(
+        fc.property(deltaOrder, (deltaPicks) => {
+          const table = createTable();
+          const deltas = [table.deltaSince(-1)];
+          for (let n = 0; n < 15; n += 1) {
+            table.apply(edit(`e${n}`, ['a', 'b', 'c'][n % 3] ?? 'a', n + 2, table.revision));
+            deltas.push(table.deltaSince(Math.max(0, table.revision - 1 - (n % 4))));
+          }
+          const view = new TableView();
+          let last = -1;
+          for (const pick of deltaPicks) {
+            const delta = deltas[pick % deltas.length];
+            if (delta !== undefined) view.apply(delta);
+            t.true(view.revision >= last);
+            last = view.revision;
+          }
+          view.apply(table.deltaSince(view.revision));
+          t.deepEqual([...view.rows].sort(byService), [...table.rows].sort(byService));
+        }),
+        { seed: SEED, numRuns: 100 },
+      );
+    },
+  );
 });
 
-describe('InForceTracker', () => {
+describe('RevisionTracker', () => {
   const status = (entry: string, revision: number) =>
     ({ entry, url: '', availabilityZone: 'z', revision, draining: false, load: 0 }) as const;
 
   test(
-    title('says yes only once every live entry has confirmed and all have had time to speak'),
+    title('reports yes only when all live entries confirmed and a full entry lease has passed'),
     (t) => {
       const tracker = new RevisionTracker({ entryLeaseMs: 1000 });
       tracker.reset(0);
--- a/packages/table/src/table.ts
+++ b/packages/table/src/table.ts
@@ -1,5 +1,5 @@
 /**
- * The table of weights and limits as a replicated state machine.
+ * State machine of the replicated table of weights and limits.
  */
 import { match } from 'ts-pattern';
 import { pack, unpack } from 'msgpackr';
@@ -15,15 +15,15 @@
 } from './commands.js';
 import { mergeFields, rowProblem } from './fields.js';
 
-/** Edits whose answers are remembered for resends. */
+/** Number of edits whose results are kept, so that a retry gets the same result. */
 const DEFAULT_MAX_REMEMBERED_EDITS = 10_000;
-/** Revisions whose changed rows are remembered for watchers. */
+/** Number of revisions whose changed rows are kept for deltas. */
 const MAX_REMEMBERED_REVISIONS = 2000;
 
 interface RememberedEdit {
   readonly contentHash: string;
   readonly answer: EditAnswer;
-  /** Revision of the table when the edit was answered. */
+  /** Revision of the table after the edit. */
   readonly revision: number;
 }
 
@@ -45,22 +45,23 @@
 
 /** Options of {@link Table}. */
 export interface TableOptions {
+  /** Number of edits whose results are kept. */
   readonly maxRememberedEdits?: number;
 }
 
-/** Rows, revisions and answers to edits. */
+/** Table rows with their revisions, and the results of recent edits. */
 export class Table {
   private readonly maxRememberedEdits: number;
   private currentRevision = 0;
   private knownModels: readonly string[] = [];
   private rowsByKey = new Map<string, ServiceRow>();
-  /** Revision at which a removed row went. */
+  /** Revision at which each removed row was removed. */
   private removedAt = new Map<string, number>();
   private edits = new Map<string, RememberedEdit>();
-  /** Table revision of the newest edit that is no longer remembered. */
+  /** Table revision of the newest edit whose result is no longer kept. */
   private forgottenUpTo = -1;
   private changes: ChangeSet[] = [];
-  /** Lowest revision from which a delta can be given. */
+  /** Lowest revision for which a delta can be computed. */
   private deltaFloor = 0;
 
   constructor(options: TableOptions = {}) {
@@ -72,7 +73,7 @@
     return this.currentRevision;
   }
 
-  /** Models that rows may name. */
+  /** Models that rows may refer to. */
   get models(): readonly string[] {
     return this.knownModels;
   }
@@ -82,30 +83,30 @@
     return [...this.rowsByKey.values()];
   }
 
-  /** A row by its key. */
+  /** Returns a row by its key. */
   row(key: string): ServiceRow | undefined {
     return this.rowsByKey.get(key);
   }
 
-  /** Applies an edit; a resent one gets its first answer. */
+  /** Applies an edit; a retry of an edit returns the first result again. */
   apply(command: TableCommand): EditAnswer {
     const remembered = this.edits.get(command.editId);
-    if (remembered !== undefined) return answerResend(remembered, command);
-    const refused = this.checkRevision(command);
-    const answer = refused ?? this.carryOut(command);
+    if (remembered !== undefined) return answerRetry(remembered, command);
+    const rejection = this.checkRevision(command);
+    const answer = rejection ?? this.execute(command);
     this.remember(command, answer);
     return answer;
   }
 
-  /** What changed after a revision. */
+  /** Returns the changes after a revision, or the whole table if they are no longer known. */
   deltaSince(fromRevision: number): TableDelta {
     const common = {
       fromRevision,
       revision: this.currentRevision,
       models: this.knownModels,
     };
-    const unknown = fromRevision < this.deltaFloor || fromRevision > this.currentRevision;
-    if (unknown) return { ...common, kind: 'snapshot', rows: this.rows, removed: [] };
+    const isOutOfRange = fromRevision < this.deltaFloor || fromRevision > this.currentRevision;
+    if (isOutOfRange) return { ...common, kind: 'snapshot', rows: this.rows, removed: [] };
     const newer = this.changes.filter((change) => change.revision > fromRevision);
     const keys = new Set(newer.flatMap((change) => change.keys));
     const rows = [...keys].flatMap((key) => this.rowsByKey.get(key) ?? []);
@@ -113,7 +114,7 @@
     return { ...common, kind: 'delta', rows, removed };
   }
 
-  /** The state as bytes. */
+  /** Encodes the state. */
   snapshot(): Uint8Array {
     const data: TableData = {
       revision: this.currentRevision,
@@ -128,7 +129,7 @@
     return pack(data);
   }
 
-  /** Takes the place of what is here. */
+  /** Replaces the state by an encoded state. */
   restore(state: Uint8Array): void {
     const data = unpack(state) as TableData;
     this.currentRevision = data.revision;
@@ -162,7 +163,7 @@
     return undefined;
   }
 
-  private carryOut(command: TableCommand): EditAnswer {
+  private execute(command: TableCommand): EditAnswer {
     return match(command)
       .with({ type: 'editRow' }, (edit) => this.editRow(edit))
       .with({ type: 'replaceTable' }, (edit) => this.replaceTable(edit))
@@ -179,7 +180,7 @@
     if (problem !== undefined) return { outcome: 'invalid', message: problem };
     this.currentRevision += 1;
     const row = this.putRow(edit.workspace, edit.service, fields);
-    this.noteChange([key]);
+    this.recordChange([key]);
     return { outcome: 'accepted', revision: this.currentRevision, row, changedRows: 1 };
   }
 
@@ -195,7 +196,7 @@
     };
   }
 
-  /** One atomic edit: any change since the expected revision makes it a conflict. */
+  /** Replaces the whole table; any change since the expected revision is a conflict. */
   private replaceTable(edit: ReplaceTable): EditAnswer {
     if (edit.expectedRevision !== this.currentRevision) {
       return {
@@ -209,14 +210,14 @@
     const problem = tableProblem(edit);
     if (problem !== undefined) return { outcome: 'invalid', message: problem };
     const changed = planReplacement(this.rowsByKey, edit.rows);
-    const sameModels = JSON.stringify(this.knownModels) === JSON.stringify(edit.models);
-    if (changed.size === 0 && sameModels) {
+    const hasSameModels = JSON.stringify(this.knownModels) === JSON.stringify(edit.models);
+    if (changed.size === 0 && hasSameModels) {
       return { outcome: 'accepted', revision: this.currentRevision, changedRows: 0 };
     }
     this.currentRevision += 1;
     this.knownModels = edit.models;
     for (const [key, fields] of changed) this.replaceRow(key, fields);
-    this.noteChange([...changed.keys()]);
+    this.recordChange([...changed.keys()]);
     return { outcome: 'accepted', revision: this.currentRevision, changedRows: changed.size };
   }
 
@@ -238,7 +239,7 @@
     return row;
   }
 
-  private noteChange(keys: readonly string[]): void {
+  private recordChange(keys: readonly string[]): void {
     this.changes.push({ revision: this.currentRevision, keys });
     if (this.changes.length <= MAX_REMEMBERED_REVISIONS) return;
     const dropped = this.changes.shift();
@@ -256,26 +257,26 @@
   }
 }
 
-/** Rows that a replacement changes; undefined stands for a row that goes. */
+/** Returns the rows that a replacement changes, by key; undefined for a removed row. */
 export function planReplacement(
   before: ReadonlyMap<string, ServiceRow>,
   rows: ReplaceTable['rows'],
 ): Map<string, RowFields | undefined> {
   const changed = new Map<string, RowFields | undefined>();
-  const kept = new Set<string>();
+  const listedKeys = new Set<string>();
   for (const { workspace, service, change } of rows) {
     const key = rowKey(workspace, service);
-    kept.add(key);
+    listedKeys.add(key);
     const fields = mergeFields(undefined, change);
-    if (!sameFields(before.get(key), fields)) changed.set(key, fields);
+    if (!hasSameFields(before.get(key), fields)) changed.set(key, fields);
   }
   for (const key of before.keys()) {
-    if (!kept.has(key)) changed.set(key, undefined);
+    if (!listedKeys.has(key)) changed.set(key, undefined);
   }
   return changed;
 }
 
-function sameFields(row: ServiceRow | undefined, fields: RowFields): boolean {
+function hasSameFields(row: ServiceRow | undefined, fields: RowFields): boolean {
   if (row === undefined) return false;
   return JSON.stringify(mergeFields(row, {})) === JSON.stringify(mergeFields(fields, {}));
 }
@@ -292,7 +293,7 @@
   return undefined;
 }
 
-function answerResend(remembered: RememberedEdit, command: TableCommand): EditAnswer {
+function answerRetry(remembered: RememberedEdit, command: TableCommand): EditAnswer {
   if (remembered.contentHash === command.contentHash) return remembered.answer;
   return {
     outcome: 'invalid',
