--- a/packages/consensus/src/consensus.ts
+++ b/packages/consensus/src/consensus.ts
@@ -163,7 +163,7 @@
   }
 
   /** Whether a membership change is still uncommitted. */
-  get configChangePending(): boolean {
+  get isConfigChangePending(): boolean {
     return this.log.config.index > this.committedIndex;
   }
 
@@ -181,12 +181,12 @@
    * Returns the matching index of each other member and the time since its last message. Empty
    * unless this member is or was the leader.
    */
-  memberProgress(): ReadonlyMap<string, { matchIndex: number; silentMs: number }> {
-    const result = new Map<string, { matchIndex: number; silentMs: number }>();
+  memberProgress(): ReadonlyMap<string, { matchIndex: number; lastContactAgoMs: number }> {
+    const result = new Map<string, { matchIndex: number; lastContactAgoMs: number }>();
     for (const [memberId, progress] of this.followers.all) {
       result.set(memberId, {
         matchIndex: progress.matchIndex,
-        silentMs: this.nowMs - progress.lastContactMs,
+        lastContactAgoMs: this.nowMs - progress.lastContactMs,
       });
     }
     return result;
@@ -266,7 +266,7 @@
    * leader, a change is still uncommitted, or no entry of the current term is committed yet.
    */
   proposeConfig(config: GroupConfig): boolean {
-    if (this.currentRole !== 'leader' || this.configChangePending) return false;
+    if (this.currentRole !== 'leader' || this.isConfigChangePending) return false;
     if (!this.hasCommittedInTerm()) return false;
     if (changedVoters(this.config, config) > 1) return false;
     this.appendAsLeader('config', EMPTY_DATA, config);
--- a/packages/consensus/src/fake-group.ts
+++ b/packages/consensus/src/fake-group.ts
@@ -224,7 +224,7 @@
         memberId,
         {
           memberId,
-          silentMs: progress.silentMs,
+          silentMs: progress.lastContactAgoMs,
           lagEntries: leader.core.commitIndex - progress.matchIndex,
         },
       ]),
--- a/packages/control/src/group-node.ts
+++ b/packages/control/src/group-node.ts
@@ -215,7 +215,7 @@
       appliedIndex: host.appliedIndex,
       voters: host.consensus.config.voters,
       learners: host.consensus.config.learners,
-      isConfigCommitted: !host.consensus.configChangePending,
+      isConfigCommitted: !host.consensus.isConfigChangePending,
     }));
   }
 
--- a/packages/control/src/membership-tasks.ts
+++ b/packages/control/src/membership-tasks.ts
@@ -26,7 +26,7 @@
 export interface ReplicationProgress {
   readonly matchIndex: number;
   /** Time since the last reply of the member, or since the leader was elected if none came. */
-  readonly silentMs: number;
+  readonly lastContactAgoMs: number;
 }
 
 /**
@@ -41,10 +41,10 @@
   lastSeenAgoMs: (memberId: string) => number,
 ): Map<string, MemberStatus> {
   const statuses = new Map<string, MemberStatus>();
-  for (const [memberId, { matchIndex, silentMs }] of progress) {
+  for (const [memberId, { matchIndex, lastContactAgoMs }] of progress) {
     statuses.set(memberId, {
       memberId,
-      silentMs: Math.max(silentMs, lastSeenAgoMs(memberId)),
+      silentMs: Math.max(lastContactAgoMs, lastSeenAgoMs(memberId)),
       lagEntries: commitIndex - matchIndex,
     });
   }
@@ -79,7 +79,7 @@
 function isMembershipStable(options: MembershipTaskOptions): boolean {
   const { consensus } = options.host;
   const { voters, learners } = consensus.config;
-  if (consensus.configChangePending || learners.length > 0) return false;
+  if (consensus.isConfigChangePending || learners.length > 0) return false;
   return voters.every((voter) => options.liveIds.includes(voter));
 }
 
