--- a/packages/whole-jobs/src/commands.ts
+++ b/packages/whole-jobs/src/commands.ts
@@ -1,9 +1,9 @@
 /**
- * Commands of the groups that hold whole jobs, and their answers. A command carries `atMs`, the
- * wall clock of the leader that proposed it; replicas never read a clock of their own.
+ * Commands of the groups that hold whole jobs, and their replies. A command carries `atMs`, the
+ * wall clock of the leader that proposed it. Replicas never read their own clocks.
  */
 
-interface Timed {
+interface Timestamped {
   readonly atMs: number;
 }
 
@@ -14,42 +14,42 @@
   /** Name, value, name, value, … */
   readonly headers: readonly string[];
   readonly body: Uint8Array;
-  /** Tokens of the prompt and the most that may be generated. */
+  /** Tokens of the prompt plus the maximum number of generated tokens. */
   readonly tokens: number;
 }
 
-/** Accepts a whole job, or finds the one with the same id. */
-export interface SubmitJob extends Timed {
+/** Accepts a whole job, or returns the known job with the same id. */
+export interface SubmitJob extends Timestamped {
   readonly type: 'submitJob';
   readonly jobId: string;
-  /** Host and path of the submission; they select the route of the items. */
+  /** Host of the submission; host and path select the route of the items. */
   readonly host: string;
   readonly path: string;
-  /** Its items are asked for by this; left out by earlier programs, which asked by {@link quotaKey}. */
+  /** Key by which entries request its items; earlier versions omit it and use {@link quotaKey}. */
   readonly routeKey?: string;
-  /** Workspace that it belongs to and runs as; undefined where its route asks for no key. */
+  /** Workspace that owns the job; undefined if its route requires no API key. */
   readonly workspace?: string;
-  /** Jobs with the same key share one bound on waiting tokens. */
+  /** Jobs with the same key share one limit on waiting tokens. */
   readonly quotaKey: string;
-  /** 0 is no bound. */
+  /** Limit on the waiting tokens of the quota key; 0 means no limit. */
   readonly maxWaitingTokens: number;
-  /** Time after the submission at which all results are due. */
+  /** Time from the submission until all results are due. */
   readonly resultsDueMs: number;
-  /** Time after the submission from which its items may be given up. */
+  /** Time from the submission until unfinished items may be given up. */
   readonly keepItemsMs: number;
-  /** Failed runs after which an item is given up. */
+  /** Number of failed runs after which an item is given up. */
   readonly maxAttempts: number;
   readonly items: readonly SubmittedItem[];
 }
 
-/** How an item ended. */
-export type ItemEnd = 'complete' | 'errored';
+/** Final state of an item. */
+export type FinalItemState = 'complete' | 'errored';
 
-/** A result of an item. */
+/** Result of a finished item. */
 export interface FinishedItem {
   readonly jobId: string;
   readonly index: number;
-  readonly state: ItemEnd;
+  readonly state: FinalItemState;
   readonly text: string;
 }
 
@@ -57,74 +57,76 @@
 export interface FailedItem {
   readonly jobId: string;
   readonly index: number;
-  /** Names the run, so that a repeated command counts it once. */
+  /** Identifies the run, so that a repeated command counts it once. */
   readonly runId: string;
 }
 
-/** An item whose endpoint ended while it ran there; it is handed back as well. */
+/** An item whose endpoint crashed during its run; it is also listed as returned. */
 export interface CrashedItem {
   readonly jobId: string;
   readonly index: number;
-  /** Names the run, so that a repeated command counts it once. */
+  /** Identifies the run, so that a repeated command counts it once. */
   readonly runId: string;
 }
 
-/** How far an item got before its run was stopped. */
+/** Partial output of an item whose run was stopped. */
 export interface ItemProgress {
-  /** Data of its events so far. */
+  /** Data of the events received so far. */
   readonly pieces: readonly string[];
   readonly lastEventId: string;
 }
 
-/** An item that its holder hands back. */
+/** An item that its holder returns unfinished. */
 export interface ReturnedItem {
   readonly jobId: string;
   readonly index: number;
   readonly progress?: ItemProgress;
 }
 
-/** Stores results, counts failed runs and keeps what items that are handed back have so far. */
-export interface CommitRuns extends Timed {
+/** Stores results, counts failed and crashed runs, and keeps the progress of returned items. */
+export interface CommitRuns extends Timestamped {
   readonly type: 'commitRuns';
-  /** Who ran the items. */
+  /** Process that ran the items. */
   readonly holder: string;
   readonly finished: readonly FinishedItem[];
   readonly failed: readonly FailedItem[];
   readonly returned: readonly ReturnedItem[];
-  /** Left out by earlier programs. */
+  /** Omitted by earlier versions. */
   readonly crashed?: readonly CrashedItem[];
 }
 
-/** Ends a job: what is not listed yet will not run any more. */
-export interface EndJob extends Timed {
+/** Ends a job: items without a result no longer run. */
+export interface EndJob extends Timestamped {
   readonly type: 'endJob';
   readonly jobId: string;
 }
 
-/** Gives up items that were kept long enough, and forgets old jobs. */
-export interface Sweep extends Timed {
+/** Gives up items whose keep time has passed, and deletes old jobs. */
+export interface Sweep extends Timestamped {
   readonly type: 'sweep';
-  /** Time after the submission for which a job that is over stays readable. */
+  /** Time from the submission for which a finished job stays readable. */
   readonly retentionMs: number;
 }
 
 /** Any command of a job group. */
 export type WholeJobCommand = SubmitJob | CommitRuns | EndJob | Sweep;
 
-/** Answer to {@link SubmitJob}. */
+/** Reply to {@link SubmitJob}. */
 export interface SubmitAnswer {
   readonly outcome: 'accepted' | 'known' | 'overQuota';
-  /** Tokens waiting under the quota key after the command. */
+  /** Waiting tokens of the quota key after the command. */
   readonly waitingTokens: number;
 }
 
-/** Answer to {@link CommitRuns}. */
+/** Reply to {@link CommitRuns}. */
 export interface CommitAnswer {
+  /** Number of results stored. */
   readonly stored: number;
+  /** Number of results ignored because their item or job was already over. */
   readonly dropped: number;
 }
 
-/** Answer to {@link EndJob}. */
+/** Reply to {@link EndJob}. */
 export interface EndAnswer {
   readonly outcome: 'ended' | 'unknown';
 }
--- a/packages/whole-jobs/src/item-dispenser.test.ts
+++ b/packages/whole-jobs/src/item-dispenser.test.ts
@@ -9,7 +9,7 @@
 const RUN_MS = 5000;
 const DUE_MS = 18_000;
 const LEASE_MS = 4000;
-const SETTLED_MS = 10_000;
+const START_MS = 10_000;
 
 function jobsOf(submitted: readonly { jobId: string; atMs: number; items: number }[]): WholeJobs {
   const jobs = new WholeJobs(new MemoryItemFiles());
@@ -45,24 +45,27 @@
 }
 
 describe('item dispenser', () => {
-  test(title('serves jobs that can be on time by due time, late ones after them'), (t) => {
-    const jobs = jobsOf([
-      { jobId: 'late', atMs: 0, items: 1 },
-      { jobId: 'soon', atMs: 10_000, items: 1 },
-      { jobId: 'fresh', atMs: 14_000, items: 1 },
-    ]);
-    const dispenser = new ItemDispenser({ leaseMs: LEASE_MS });
-    const granted = dispenser.grant(jobs, request(3), { nowMs: SETTLED_MS, wallMs: 15_000 });
-    t.deepEqual(
-      granted.items.map(({ job }) => job.identity.jobId),
-      ['soon', 'fresh', 'late'],
-    );
-  });
+  test(
+    title('grants jobs that can meet their due time in order of due time, then late jobs'),
+    (t) => {
+      const jobs = jobsOf([
+        { jobId: 'late', atMs: 0, items: 1 },
+        { jobId: 'soon', atMs: 10_000, items: 1 },
+        { jobId: 'fresh', atMs: 14_000, items: 1 },
+      ]);
+      const dispenser = new ItemDispenser({ leaseMs: LEASE_MS });
+      const granted = dispenser.grant(jobs, request(3), { nowMs: START_MS, wallMs: 15_000 });
+      t.deepEqual(
+        granted.items.map(({ job }) => job.identity.jobId),
+        ['soon', 'fresh', 'late'],
+      );
+    },
+  );
 
-  test(title('takes what was made so far into account'), (t) => {
+  test(title('takes the saved progress of an item into account'), (t) => {
     const jobs = jobsOf([{ jobId: 'j', atMs: 0, items: 2 }]);
     const dispenser = new ItemDispenser({ leaseMs: LEASE_MS });
-    dispenser.grant(jobs, request(2), { nowMs: SETTLED_MS, wallMs: 0 });
+    dispenser.grant(jobs, request(2), { nowMs: START_MS, wallMs: 0 });
     const progress = { pieces: Array.from({ length: 90 }, () => 'x'), lastEventId: '90' };
     const returned = [
       { jobId: 'j', index: 0 },
@@ -71,71 +74,81 @@
     const runs = { holder: 'a', finished: [], failed: [], returned };
     jobs.apply({ type: 'commitRuns', atMs: 0, ...runs }, 2);
     dispenser.release('a', returned);
-    // Two seconds are left: too few for a whole item, enough for the rest of the second one.
-    const time = { nowMs: SETTLED_MS, wallMs: DUE_MS - 2000 };
+    // The remaining two seconds are too short for a complete run, but enough for the rest of item
+    // 1.
+    const time = { nowMs: START_MS, wallMs: DUE_MS - 2000 };
     const [first] = dispenser.grant(jobs, request(1, 'b'), time).items;
     t.is(first?.index, 1);
     t.deepEqual(first?.progress, progress);
   });
 
-  test(title('an item under which two endpoints ended waits, the others do not'), (t) => {
-    const jobs = jobsOf([{ jobId: 'j', atMs: 0, items: 2 }]);
-    const dispenser = new ItemDispenser({ leaseMs: LEASE_MS });
-    const grantAt = (nowMs: number): number[] =>
-      dispenser.grant(jobs, request(2), { nowMs, wallMs: 0 }).items.map(({ index }) => index);
-    for (const runId of ['first', 'second']) {
-      const crashed = [{ jobId: 'j', index: 0, runId }];
-      const runs = { holder: 'a', finished: [], failed: [], returned: [] };
-      jobs.apply({ type: 'commitRuns', atMs: 0, ...runs, crashed }, 2);
-      const expected = runId === 'first' ? [0, 1] : [1];
-      t.deepEqual(grantAt(SETTLED_MS), expected, `after the ${runId} end`);
-      dispenser.release('a', [
-        { jobId: 'j', index: 0 },
-        { jobId: 'j', index: 1 },
-      ]);
-    }
-    t.deepEqual(grantAt(SETTLED_MS + 3999), [1]);
-    t.deepEqual(grantAt(SETTLED_MS + 4000), [0]);
-  });
+  test(
+    title('delays an item after two endpoint crashes during its runs, and no other item'),
+    (t) => {
+      const jobs = jobsOf([{ jobId: 'j', atMs: 0, items: 2 }]);
+      const dispenser = new ItemDispenser({ leaseMs: LEASE_MS });
+      const grantedIndexesAt = (nowMs: number): number[] =>
+        dispenser.grant(jobs, request(2), { nowMs, wallMs: 0 }).items.map(({ index }) => index);
+      for (const runId of ['first', 'second']) {
+        const crashed = [{ jobId: 'j', index: 0, runId }];
+        const runs = { holder: 'a', finished: [], failed: [], returned: [] };
+        jobs.apply({ type: 'commitRuns', atMs: 0, ...runs, crashed }, 2);
+        const expected = runId === 'first' ? [0, 1] : [1];
+        t.deepEqual(grantedIndexesAt(START_MS), expected, `after the ${runId} crash`);
+        dispenser.release('a', [
+          { jobId: 'j', index: 0 },
+          { jobId: 'j', index: 1 },
+        ]);
+      }
+      t.deepEqual(grantedIndexesAt(START_MS + 3999), [1]);
+      t.deepEqual(grantedIndexesAt(START_MS + 4000), [0]);
+    },
+  );
 
-  test(title('hands out nothing until the holders could tell a new leader what they have'), (t) => {
-    const jobs = jobsOf([{ jobId: 'j', atMs: 0, items: 1 }]);
-    const dispenser = new ItemDispenser({ leaseMs: LEASE_MS });
-    dispenser.becameLeader(SETTLED_MS);
-    t.deepEqual(
-      dispenser.grant(jobs, request(1), { nowMs: SETTLED_MS + 100, wallMs: 0 }).items,
-      [],
-    );
-    t.deepEqual(dispenser.renew(jobs, 'b', [{ jobId: 'j', index: 0 }], SETTLED_MS + 200), []);
-    const later = { nowMs: SETTLED_MS + 2000, wallMs: 0 };
-    t.deepEqual(dispenser.grant(jobs, request(1), later).items, []);
-  });
+  test(
+    title('grants nothing until the holders had time to renew their leases with a new leader'),
+    (t) => {
+      const jobs = jobsOf([{ jobId: 'j', atMs: 0, items: 1 }]);
+      const dispenser = new ItemDispenser({ leaseMs: LEASE_MS });
+      dispenser.becameLeader(START_MS);
+      t.deepEqual(
+        dispenser.grant(jobs, request(1), { nowMs: START_MS + 100, wallMs: 0 }).items,
+        [],
+      );
+      t.deepEqual(dispenser.renew(jobs, 'b', [{ jobId: 'j', index: 0 }], START_MS + 200), []);
+      const later = { nowMs: START_MS + 2000, wallMs: 0 };
+      t.deepEqual(dispenser.grant(jobs, request(1), later).items, []);
+    },
+  );
 
-  test(title('gives an item to one holder at a time, and again once its lease ran out'), (t) => {
-    const steps = fc.array(
-      fc.record({ holder: fc.constantFrom('a', 'b', 'c'), stepMs: fc.nat(3000), max: fc.nat(4) }),
-      { maxLength: 40 },
-    );
-    fc.assert(
-      fc.property(steps, (grants) => {
-        const jobs = jobsOf([{ jobId: 'j', atMs: 0, items: 6 }]);
-        const dispenser = new ItemDispenser({ leaseMs: LEASE_MS });
-        const heldUntil = new Map<number, number>();
-        let nowMs = SETTLED_MS;
-        for (const { holder, stepMs, max } of grants) {
-          nowMs += stepMs;
-          for (const { index } of dispenser.grant(jobs, request(max, holder), {
-            nowMs,
-            wallMs: 0,
-          }).items) {
-            if ((heldUntil.get(index) ?? 0) > nowMs) return false;
-            heldUntil.set(index, nowMs + LEASE_MS);
+  test(
+    title('grants an item to one holder at a time, and again only after its lease has expired'),
+    (t) => {
+      const steps = fc.array(
+        fc.record({ holder: fc.constantFrom('a', 'b', 'c'), stepMs: fc.nat(3000), max: fc.nat(4) }),
+        { maxLength: 40 },
+      );
+      fc.assert(
+        fc.property(steps, (grants) => {
+          const jobs = jobsOf([{ jobId: 'j', atMs: 0, items: 6 }]);
+          const dispenser = new ItemDispenser({ leaseMs: LEASE_MS });
+          const leasedUntilMs = new Map<number, number>();
+          let nowMs = START_MS;
+          for (const { holder, stepMs, max } of grants) {
+            nowMs += stepMs;
+            for (const { index } of dispenser.grant(jobs, request(max, holder), {
+              nowMs,
+              wallMs: 0,
+            }).items) {
+              if ((leasedUntilMs.get(index) ?? 0) > nowMs) return false;
+              leasedUntilMs.set(index, nowMs + LEASE_MS);
+            }
           }
-        }
-        return true;
-      }),
-      { seed: 2 },
-    );
-    t.pass();
-  });
+          return true;
+        }),
+        { seed: 2 },
+      );
+      t.pass();
+    },
+  );
 });
--- a/packages/whole-jobs/src/item-dispenser.ts
+++ b/packages/whole-jobs/src/item-dispenser.ts
@@ -1,44 +1,49 @@
 /**
- * Hands out the items of a group while its member leads. Who holds what is kept in memory only:
- * an item may run more than once, so a new leader starts from what the holders tell it.
+ * Leases items of a group to entries while the local member is its leader. Leases are kept in
+ * memory only: an item may run more than once, so a new leader rebuilds them from the renewals of
+ * the holders.
  */
 import type { ItemProgress } from './commands.js';
-import { ItemPace } from './item-pace.js';
-import { compareTurns } from './item-turn.js';
-import type { WaitingItem } from './item-turn.js';
+import { SlowdownEstimate } from './slowdown-estimate.js';
+import { compareWaitingItems } from './item-order.js';
+import type { WaitingItem } from './item-order.js';
 import type { JobRecord } from './job-record.js';
 import type { WholeJobs } from './whole-jobs.js';
 
-/** Time after an election in which holders tell what they have before anything is handed out. */
-const SETTLE_MS = 1200;
+/** Time after an election in which holders renew their leases and no items are granted. */
+const ELECTION_GRACE_MS = 1200;
 
-/** Endpoints in a row that ended under an item from which it has to wait before its next run. */
-const CRASHES_TO_PAUSE = 2;
 /**
- * Time for which it waits. If something else ended them, as one request that came again and again, that is over
- * by then, and the item is not blamed for a third; if not, endpoints end less often.
+ * Number of consecutive endpoint crashes during runs of an item after which its next run is
+ * delayed.
+ */
+const CRASHES_BEFORE_PAUSE = 2;
+/**
+ * Delay before the next run of such an item. If another cause crashed the endpoints, such as a
+ * request that was retried repeatedly, it has passed by then and no third crash is attributed to
+ * the item. If the item is the cause, the delay makes the crashes less frequent.
  */
 const CRASH_PAUSE_MS = 4000;
 
-/** Names an item. */
+/** Identifies an item. */
 export interface ItemRef {
   readonly jobId: string;
   readonly index: number;
 }
 
-/** Asks for items. */
+/** Request of an entry for items. */
 export interface ItemRequest {
   readonly holder: string;
-  /** Route whose items are wanted. */
+  /** Route whose items are requested. */
   readonly routeKey: string;
   readonly maxItems: number;
-  /** Time that a whole item takes, as its holder sees it. */
+  /** Duration of a complete run, as measured by the holder. */
   readonly runMs: number;
-  /** Events of a whole item, as its holder sees it. */
+  /** Number of events of a complete run, as measured by the holder. */
   readonly runEvents: number;
 }
 
-/** An item that was handed out. */
+/** A granted item. */
 export interface DispensedItem {
   readonly job: JobRecord;
   readonly index: number;
@@ -47,50 +52,53 @@
 
 /** Options of {@link ItemDispenser}. */
 export interface ItemDispenserOptions {
-  /** Time that an item stays with a silent holder. */
+  /** Time after which the lease of an unresponsive holder expires. */
   readonly leaseMs: number;
 }
 
-interface Holding {
+interface Lease {
   readonly holder: string;
-  untilMs: number;
+  expiresAtMs: number;
 }
 
-/** Who holds the items of one job, and when each was first handed out, by index. */
-interface JobHoldings {
-  readonly held: Map<number, Holding>;
-  readonly begunAtMs: Map<number, number>;
-  /** When an item began to wait because endpoints ended under it. */
+/** Leases and times of the items of one job, by item index. */
+interface JobLeases {
+  readonly leases: Map<number, Lease>;
+  /** Time at which an item was first granted. */
+  readonly grantedAtMs: Map<number, number>;
+  /** Time at which an item's delay after endpoint crashes began. */
   readonly pausedAtMs: Map<number, number>;
 }
 
-/** Monotonic time for leases and wall time for due times. */
+/** Current time of both clocks. */
 export interface DispenserTime {
+  /** Monotonic time, for leases. */
   readonly nowMs: number;
+  /** Wall clock, for due times. */
   readonly wallMs: number;
 }
 
-/** An item that nobody holds. */
-interface UnheldItem extends WaitingItem {
+/** An unleased item. */
+interface UnleasedItem extends WaitingItem {
   readonly job: JobRecord;
   readonly index: number;
 }
 
-/** What was handed out, and how much still waits. */
+/** Granted items and the number still waiting. */
 export interface Dispensed {
   readonly items: readonly DispensedItem[];
-  /** Items of the route that nobody holds after this. */
+  /** Number of unleased items of the route after the grant; excludes delayed items. */
   readonly unheldCount: number;
 }
 
-/** Least share of a whole run that an item is taken to need still. */
+/** Minimum share of a complete run that an item is assumed to still need. */
 const MIN_REMAINING_SHARE = 0.1;
 
-/** Leases of items. */
+/** Grants, renews and releases leases of items. */
 export class ItemDispenser {
   private readonly leaseMs: number;
-  private readonly holdings = new Map<string, JobHoldings>();
-  private readonly pace = new ItemPace();
+  private readonly leasesByJob = new Map<string, JobLeases>();
+  private readonly slowdownEstimate = new SlowdownEstimate();
   private runMs = 0;
   private grantsFromMs = 0;
 
@@ -98,123 +106,141 @@
     this.leaseMs = options.leaseMs;
   }
 
-  /** The member began to lead. */
+  /** Discards all leases; called when the member becomes leader. */
   becameLeader(nowMs: number): void {
-    this.holdings.clear();
-    this.grantsFromMs = nowMs + SETTLE_MS;
+    this.leasesByJob.clear();
+    this.grantsFromMs = nowMs + ELECTION_GRACE_MS;
   }
 
-  /** Hands out items, those whose turn it is; see {@link compareTurns}. */
+  /** Leases the first waiting items in the order of {@link compareWaitingItems}. */
   grant(jobs: WholeJobs, request: ItemRequest, time: DispenserTime): Dispensed {
-    const waiting = this.unheldItems(jobs, request, time);
+    const waiting = this.unleasedItems(jobs, request, time);
     if (time.nowMs < this.grantsFromMs) return { items: [], unheldCount: waiting.length };
     this.runMs = request.runMs;
-    const { stretch } = this.pace;
-    const chosen = firstOf(waiting, request.maxItems, (a, b) => compareTurns(a, b, stretch));
-    const items = chosen.map(({ job, index }) => {
-      this.hold({ jobId: job.identity.jobId, index }, request.holder, time.nowMs);
+    const { slowdown } = this.slowdownEstimate;
+    const selected = selectFirst(waiting, request.maxItems, (a, b) =>
+      compareWaitingItems(a, b, slowdown),
+    );
+    const items = selected.map(({ job, index }) => {
+      this.leaseItem({ jobId: job.identity.jobId, index }, request.holder, time.nowMs);
       return { job, index, progress: job.progressOf(index) };
     });
     return { items, unheldCount: waiting.length - items.length };
   }
 
-  /** Prolongs what a holder has; gives the items that it must not run any more. */
+  /** Renews the leases of a holder; returns the items that it must no longer run. */
   renew(jobs: WholeJobs, holder: string, refs: readonly ItemRef[], nowMs: number): ItemRef[] {
     const lost: ItemRef[] = [];
     for (const ref of refs) {
       const isOpen = jobs.get(ref.jobId)?.mayRun(ref.index) === true;
-      const other = this.holdings.get(ref.jobId)?.held.get(ref.index);
-      const isOthers = other !== undefined && other.holder !== holder && other.untilMs > nowMs;
-      if (isOpen && !isOthers) this.hold(ref, holder, nowMs);
+      const lease = this.leasesByJob.get(ref.jobId)?.leases.get(ref.index);
+      const isHeldByOther =
+        lease !== undefined && lease.holder !== holder && lease.expiresAtMs > nowMs;
+      if (isOpen && !isHeldByOther) this.leaseItem(ref, holder, nowMs);
       else lost.push(ref);
     }
     return lost;
   }
 
-  /** Takes back items that their holder will not finish. */
+  /** Ends the leases of items that their holder failed to run or returned unfinished. */
   release(holder: string, items: readonly ItemRef[]): void {
     for (const { jobId, index } of items) {
-      const held = this.holdings.get(jobId)?.held;
-      if (held?.get(index)?.holder === holder) held.delete(index);
+      const leases = this.leasesByJob.get(jobId)?.leases;
+      if (leases?.get(index)?.holder === holder) leases.delete(index);
     }
   }
 
-  /** Notes items that are finished. */
+  /** Updates the slowdown estimate with finished items. */
   finished(items: readonly ItemRef[], nowMs: number): void {
     for (const { jobId, index } of items) {
-      const begunAtMs = this.holdings.get(jobId)?.begunAtMs.get(index);
-      if (begunAtMs !== undefined) this.pace.finished(nowMs - begunAtMs, this.runMs);
+      const grantedAtMs = this.leasesByJob.get(jobId)?.grantedAtMs.get(index);
+      if (grantedAtMs !== undefined)
+        this.slowdownEstimate.addSample(nowMs - grantedAtMs, this.runMs);
     }
   }
 
-  /** Forgets leases that ran out and items that are over. */
+  /** Removes expired leases and the records of finished items and jobs. */
   sweep(jobs: WholeJobs, nowMs: number): void {
-    for (const [jobId, { held, begunAtMs, pausedAtMs }] of this.holdings) {
+    for (const [jobId, { leases, grantedAtMs, pausedAtMs }] of this.leasesByJob) {
       const job = jobs.get(jobId);
       if (job?.isOpen !== true) {
-        this.holdings.delete(jobId);
+        this.leasesByJob.delete(jobId);
         continue;
       }
-      for (const [index, { untilMs }] of held) {
-        if (untilMs <= nowMs || !job.mayRun(index)) held.delete(index);
+      for (const [index, { expiresAtMs }] of leases) {
+        if (expiresAtMs <= nowMs || !job.mayRun(index)) leases.delete(index);
       }
-      for (const index of begunAtMs.keys()) if (!job.mayRun(index)) begunAtMs.delete(index);
+      for (const index of grantedAtMs.keys()) if (!job.mayRun(index)) grantedAtMs.delete(index);
       for (const index of pausedAtMs.keys()) if (!job.mayRun(index)) pausedAtMs.delete(index);
     }
   }
 
-  private unheldItems(jobs: WholeJobs, request: ItemRequest, time: DispenserTime): UnheldItem[] {
-    const unheld: UnheldItem[] = [];
+  private unleasedItems(
+    jobs: WholeJobs,
+    request: ItemRequest,
+    time: DispenserTime,
+  ): UnleasedItem[] {
+    const unleased: UnleasedItem[] = [];
     for (const job of jobs.all) {
       if (!job.isOpen || job.routeKey !== request.routeKey) continue;
-      const held = this.holdings.get(job.identity.jobId)?.held;
-      const leftMs = job.dueAtMs - time.wallMs;
+      const leases = this.leasesByJob.get(job.identity.jobId)?.leases;
+      const untilDueMs = job.dueAtMs - time.wallMs;
       const allowedMs = job.identity.resultsDueMs;
       for (const index of job.openIndexes()) {
-        if ((held?.get(index)?.untilMs ?? 0) > time.nowMs) continue;
+        if ((leases?.get(index)?.expiresAtMs ?? 0) > time.nowMs) continue;
         if (this.isPaused(job, index, time.nowMs)) continue;
         const eventCount = job.eventCount(index);
-        const doneShare = eventCount / Math.max(1, request.runEvents);
-        const remainingMs = request.runMs * Math.max(MIN_REMAINING_SHARE, 1 - doneShare);
-        unheld.push({ job, index, leftMs, allowedMs, remainingMs, isBegun: eventCount > 0 });
+        const completedShare = eventCount / Math.max(1, request.runEvents);
+        const remainingMs = request.runMs * Math.max(MIN_REMAINING_SHARE, 1 - completedShare);
+        unleased.push({
+          job,
+          index,
+          untilDueMs,
+          allowedMs,
+          remainingMs,
+          isStarted: eventCount > 0,
+        });
       }
     }
-    return unheld;
+    return unleased;
   }
 
-  /** Whether an item still has to wait because endpoints ended under it. */
+  /** Whether the next run of an item is still delayed after endpoint crashes. */
   private isPaused(job: JobRecord, index: number, nowMs: number): boolean {
-    if (job.crashCount(index) < CRASHES_TO_PAUSE) return false;
-    const { pausedAtMs } = this.holdingsOf(job.identity.jobId);
+    if (job.crashCount(index) < CRASHES_BEFORE_PAUSE) return false;
+    const { pausedAtMs } = this.leasesOf(job.identity.jobId);
     const sinceMs = pausedAtMs.get(index) ?? nowMs;
     pausedAtMs.set(index, sinceMs);
     return nowMs - sinceMs < CRASH_PAUSE_MS;
   }
 
-  private holdingsOf(jobId: string): JobHoldings {
-    const known = this.holdings.get(jobId);
-    if (known !== undefined) return known;
-    const fresh = { held: new Map(), begunAtMs: new Map(), pausedAtMs: new Map() };
-    this.holdings.set(jobId, fresh);
-    return fresh;
+  private leasesOf(jobId: string): JobLeases {
+    const existing = this.leasesByJob.get(jobId);
+    if (existing !== undefined) return existing;
+    const created = { leases: new Map(), grantedAtMs: new Map(), pausedAtMs: new Map() };
+    this.leasesByJob.set(jobId, created);
+    return created;
   }
 
-  private hold({ jobId, index }: ItemRef, holder: string, nowMs: number): void {
-    const { held, begunAtMs } = this.holdingsOf(jobId);
-    held.set(index, { holder, untilMs: nowMs + this.leaseMs });
-    if (!begunAtMs.has(index)) begunAtMs.set(index, nowMs);
+  private leaseItem({ jobId, index }: ItemRef, holder: string, nowMs: number): void {
+    const { leases, grantedAtMs } = this.leasesOf(jobId);
+    leases.set(index, { holder, expiresAtMs: nowMs + this.leaseMs });
+    if (!grantedAtMs.has(index)) grantedAtMs.set(index, nowMs);
   }
 }
 
-/** The first `count` in order; cheaper than a sort of all, of which hundreds may wait for one slot. */
-function firstOf<T>(all: readonly T[], count: number, compare: (a: T, b: T) => number): T[] {
-  const first: T[] = [];
-  for (const one of all) {
-    const last = first.at(-1);
-    if (first.length >= count && (last === undefined || compare(one, last) >= 0)) continue;
-    const place = first.findIndex((other) => compare(one, other) < 0);
-    first.splice(place === -1 ? first.length : place, 0, one);
-    if (first.length > count) first.pop();
+/**
+ * Returns the first `count` elements in order. This is cheaper than a full sort, because hundreds
+ * of items may wait for one slot.
+ */
+function selectFirst<T>(all: readonly T[], count: number, compare: (a: T, b: T) => number): T[] {
+  const selected: T[] = [];
+  for (const element of all) {
+    const last = selected.at(-1);
+    if (selected.length >= count && (last === undefined || compare(element, last) >= 0)) continue;
+    const position = selected.findIndex((other) => compare(element, other) < 0);
+    selected.splice(position === -1 ? selected.length : position, 0, element);
+    if (selected.length > count) selected.pop();
   }
-  return first;
+  return selected;
 }
--- a/packages/whole-jobs/src/job-record.ts
+++ b/packages/whole-jobs/src/job-record.ts
@@ -1,32 +1,33 @@
 /**
- * One job that was submitted whole. Bodies and results live in files; memory holds a few bytes
- * an item.
+ * A job that was submitted whole. Bodies and results are stored in files; memory holds a few bytes
+ * per item.
  */
 import { crc32 } from 'node:zlib';
 import { pack, unpack } from 'msgpackr';
 import { RECORD_ALIGNMENT_BYTES } from '@shedline/storage';
 import type { ItemFiles } from '@shedline/storage';
-import type { ItemEnd, ItemProgress, SubmitJob, SubmittedItem } from './commands.js';
+import type { FinalItemState, ItemProgress, SubmitJob, SubmittedItem } from './commands.js';
 
 /**
- * Endpoints that may end under an item in a row before it is given up. Each takes what it is at work on with it,
- * up to 8 requests of others; handed out again without end, one item ended 102 of 16 endpoints in 24 s.
+ * Number of consecutive endpoint crashes after which an item is given up. Each crash also aborts
+ * the other requests at the endpoint, up to 8. Granted again without limit, one item caused 102
+ * crashes of 16 endpoints in 24 s.
  */
-const MAX_CRASHES = 3;
+const MAX_CONSECUTIVE_CRASHES = 3;
 /**
- * Events beyond which an item has got on between two ends, so that these do not follow from it: whatever ends
- * its endpoint does so at the same place again. About a third of a second of a run.
+ * Progress between two crashes, in events, above which the count restarts: an item that crashes its
+ * endpoint does so at the same position again. Corresponds to about a third of a second of a run.
  */
-const EVENTS_OF_PROGRESS = 16;
+const MIN_PROGRESS_EVENTS = 16;
 
-/** What stays the same over the life of a job. */
+/** Immutable properties of a job. */
 export interface JobIdentity {
   readonly jobId: string;
   readonly host: string;
   readonly path: string;
-  /** Entries ask for its items by this. */
+  /** Key by which entries request its items; undefined for jobs of earlier versions. */
   readonly routeKey?: string;
-  /** Undefined where its route asks for no key. */
+  /** Undefined if its route requires no API key. */
   readonly workspace?: string;
   readonly quotaKey: string;
   readonly maxAttempts: number;
@@ -34,18 +35,18 @@
   readonly submittedAtMs: number;
   readonly resultsDueMs: number;
   readonly keepItemsMs: number;
-  /** Stem of the names of its files. */
+  /** Base name of its files. */
   readonly fileName: string;
 }
 
-/** One listed result. */
+/** Result of one item. */
 export interface JobResult {
   readonly itemId: string;
-  readonly state: ItemEnd;
+  readonly state: FinalItemState;
   readonly text: string;
 }
 
-/** Plain form of a job, for snapshots. */
+/** Serialized form of a job in a snapshot. */
 export interface JobRecordData {
   readonly identity: JobIdentity;
   readonly isEnded: boolean;
@@ -54,17 +55,20 @@
   readonly itemHashes: readonly number[];
   readonly bodyBytes: number;
   readonly resultBytes: number;
-  /** Index of the item and unit of its record, in the order of the positions. */
+  /** Item index and alignment unit of the result record, by position. */
   readonly listed: readonly (readonly [number, number])[];
   readonly failedRuns: readonly (readonly [number, readonly string[]])[];
-  /** Index of the item, unit of the record, and number of events, of what items have so far. */
+  /** Item index, alignment unit of the record and number of events of saved progress. */
   readonly progress: readonly (readonly [number, number, number])[];
-  /** Index of the item, runs whose endpoints ended, and events by then; left out by earlier programs. */
+  /**
+   * Item index, ids of the runs in which an endpoint crashed, and number of events at the last
+   * crash; omitted by earlier versions.
+   */
   readonly crashes?: readonly (readonly [number, readonly string[], number])[];
 }
 
-/** Ends of endpoints in a row under an item that got no further between them. */
-interface Crashes {
+/** Endpoint crashes during runs of an item, without sufficient progress between them. */
+interface ConsecutiveCrashes {
   readonly runIds: readonly string[];
   readonly eventCount: number;
 }
@@ -77,38 +81,45 @@
   private itemUnits = new Uint32Array(0);
   private itemTokens = new Uint32Array(0);
   private itemHashes = new Uint32Array(0);
-  private isListed = new Uint8Array(0);
-  private listed: [number, number][] = [];
+  private hasResult = new Uint8Array(0);
+  private resultEntries: [number, number][] = [];
   private readonly failedRuns = new Map<number, string[]>();
   private readonly progress = new Map<number, { unit: number; eventCount: number }>();
-  private readonly crashes = new Map<number, Crashes>();
+  private readonly crashes = new Map<number, ConsecutiveCrashes>();
   private bodyBytes = 0;
   private resultBytes = 0;
-  private waiting = 0;
+  private unfinishedTokens = 0;
 
   private constructor(identity: JobIdentity, files: ItemFiles) {
     this.identity = identity;
     this.files = files;
   }
 
-  /** A job as it was submitted. */
+  /** Creates a job from its submission and stores its items. */
   static submitted(command: SubmitJob, fileName: string, files: ItemFiles): JobRecord {
     const { jobId, host, path, quotaKey, maxAttempts, resultsDueMs, keepItemsMs } = command;
     const { routeKey = quotaKey, workspace } = command;
-    const owner = workspace === undefined ? {} : { workspace };
-    const rules = { routeKey, ...owner, quotaKey, maxAttempts, resultsDueMs, keepItemsMs };
+    const optionalWorkspace = workspace === undefined ? {} : { workspace };
+    const rules = {
+      routeKey,
+      ...optionalWorkspace,
+      quotaKey,
+      maxAttempts,
+      resultsDueMs,
+      keepItemsMs,
+    };
     const submittedAtMs = command.atMs;
     const job = new JobRecord({ jobId, host, path, ...rules, submittedAtMs, fileName }, files);
     job.storeItems(command.items);
     return job;
   }
 
-  /** Wall clock at which its results are due. */
+  /** Wall-clock time at which its results are due. */
   get dueAtMs(): number {
     return this.identity.submittedAtMs + this.identity.resultsDueMs;
   }
 
-  /** Entries ask for its items by this; jobs of earlier programs have their quota key only. */
+  /** Key by which entries request its items; jobs of earlier versions have only a quota key. */
   get routeKey(): string {
     return this.identity.routeKey ?? this.identity.quotaKey;
   }
@@ -119,28 +130,28 @@
   }
 
   /** Number of results so far. */
-  get listedCount(): number {
-    return this.listed.length;
+  get resultCount(): number {
+    return this.resultEntries.length;
   }
 
-  /** Whether its end was asked for. */
+  /** Whether the job was ended by command. */
   get isEnded(): boolean {
     return this.ended;
   }
 
   /** Whether items may still run. */
   get isOpen(): boolean {
-    return !this.ended && this.listed.length < this.total;
+    return !this.ended && this.resultEntries.length < this.total;
   }
 
-  /** Tokens of the items that are not over. */
+  /** Tokens of the items that may still run. */
   get waitingTokens(): number {
-    return this.ended ? 0 : this.waiting;
+    return this.ended ? 0 : this.unfinishedTokens;
   }
 
   /** Whether an item may still run. */
   mayRun(index: number): boolean {
-    return !this.ended && index < this.total && this.isListed[index] === 0;
+    return !this.ended && index < this.total && this.hasResult[index] === 0;
   }
 
   /** Indexes of the items that may still run. */
@@ -150,13 +161,13 @@
     }
   }
 
-  /** An item as submitted. */
+  /** Reads an item as submitted. */
   item(index: number): SubmittedItem {
     const offset = (this.itemUnits[index] ?? 0) * RECORD_ALIGNMENT_BYTES;
     return unpack(this.files.readRecord(this.bodyFile, offset)) as SubmittedItem;
   }
 
-  /** The item with this id; undefined where there is none. */
+  /** Returns the item with this id; undefined if there is none. */
   findItem(itemId: string): SubmittedItem | undefined {
     const hash = crc32(itemId);
     for (let index = 0; index < this.total; index += 1) {
@@ -167,15 +178,15 @@
     return undefined;
   }
 
-  /** The result at a position. */
+  /** Returns the result at a position. */
   resultAt(position: number): JobResult | undefined {
-    const entry = this.listed[position];
+    const entry = this.resultEntries[position];
     if (entry === undefined) return undefined;
     const offset = entry[1] * RECORD_ALIGNMENT_BYTES;
     return unpack(this.files.readRecord(this.resultFile, offset)) as JobResult;
   }
 
-  /** Keeps how far an item got, if that is further than what is kept. */
+  /** Saves the progress of an item if it exceeds what is saved. */
   saveProgress(index: number, progress: ItemProgress): void {
     const eventCount = progress.pieces.length;
     if (!this.mayRun(index) || eventCount <= this.eventCount(index)) return;
@@ -184,65 +195,66 @@
     this.progress.set(index, { unit, eventCount });
   }
 
-  /** Events that an item has so far. */
+  /** Number of events in the saved progress of an item. */
   eventCount(index: number): number {
     return this.progress.get(index)?.eventCount ?? 0;
   }
 
-  /** How far an item got; undefined where it has to begin at its start. */
+  /** Returns the saved progress of an item; undefined if it has to start from the beginning. */
   progressOf(index: number): ItemProgress | undefined {
-    const kept = this.progress.get(index);
-    if (kept === undefined) return undefined;
-    const offset = kept.unit * RECORD_ALIGNMENT_BYTES;
+    const saved = this.progress.get(index);
+    if (saved === undefined) return undefined;
+    const offset = saved.unit * RECORD_ALIGNMENT_BYTES;
     return unpack(this.files.readRecord(this.resultFile, offset)) as ItemProgress;
   }
 
-  /** Lists a result if the item has none yet. */
-  finish(index: number, state: ItemEnd, text: string): boolean {
+  /** Stores a result if the item has none yet. */
+  finish(index: number, state: FinalItemState, text: string): boolean {
     if (!this.mayRun(index)) return false;
     const result: JobResult = { itemId: this.item(index).itemId, state, text };
-    this.listed.push([index, this.resultBytes / RECORD_ALIGNMENT_BYTES]);
+    this.resultEntries.push([index, this.resultBytes / RECORD_ALIGNMENT_BYTES]);
     this.resultBytes = this.files.writeRecord(this.resultFile, this.resultBytes, pack(result));
-    this.isListed[index] = 1;
-    this.waiting -= this.itemTokens[index] ?? 0;
+    this.hasResult[index] = 1;
+    this.unfinishedTokens -= this.itemTokens[index] ?? 0;
     this.failedRuns.delete(index);
     this.progress.delete(index);
     this.crashes.delete(index);
     return true;
   }
 
-  /** Counts a failed run once; gives the item up after too many. */
+  /** Counts a failed run once per run id; gives the item up after too many. */
   countFailure(index: number, runId: string): void {
     if (!this.mayRun(index)) return;
-    const runs = this.failedRuns.get(index) ?? [];
-    if (runs.includes(runId)) return;
-    runs.push(runId);
-    this.failedRuns.set(index, runs);
-    if (runs.length >= this.identity.maxAttempts) this.finish(index, 'errored', '');
+    const runIds = this.failedRuns.get(index) ?? [];
+    if (runIds.includes(runId)) return;
+    runIds.push(runId);
+    this.failedRuns.set(index, runIds);
+    if (runIds.length >= this.identity.maxAttempts) this.finish(index, 'errored', '');
   }
 
-  /** Endpoints in a row that ended under an item. */
+  /** Number of consecutive endpoint crashes during runs of an item. */
   crashCount(index: number): number {
     return this.crashes.get(index)?.runIds.length ?? 0;
   }
 
   /**
-   * Counts a run whose endpoint ended, once; gives the item up after too many. What the run made has
-   * been saved before.
+   * Counts a run whose endpoint crashed, once per run id; gives the item up after too many. The
+   * progress of the run must have been saved before.
    */
   countCrash(index: number, runId: string): void {
     if (!this.mayRun(index)) return;
-    const known = this.crashes.get(index);
-    if (known?.runIds.includes(runId) === true) return;
+    const previous = this.crashes.get(index);
+    if (previous?.runIds.includes(runId) === true) return;
     const eventCount = this.eventCount(index);
-    const gotOn = known === undefined || eventCount - known.eventCount > EVENTS_OF_PROGRESS;
-    const runIds = gotOn ? [runId] : [...known.runIds, runId];
+    const hasAdvanced =
+      previous === undefined || eventCount - previous.eventCount > MIN_PROGRESS_EVENTS;
+    const runIds = hasAdvanced ? [runId] : [...previous.runIds, runId];
     this.crashes.set(index, { runIds, eventCount });
-    if (runIds.length < MAX_CRASHES) return;
+    if (runIds.length < MAX_CONSECUTIVE_CRASHES) return;
     this.finish(index, 'errored', `given up: ${runIds.length} endpoints ended while they ran it`);
   }
 
-  /** Ends the job. */
+  /** Ends the job: items without a result no longer run. */
   end(): void {
     this.ended = true;
     this.crashes.clear();
@@ -250,7 +262,7 @@
     this.progress.clear();
   }
 
-  /** Files and how much of each is valid. */
+  /** Files of the job and the valid size of each. */
   fileSizes(): { file: string; sizeBytes: number }[] {
     return [
       { file: this.bodyFile, sizeBytes: this.bodyBytes },
@@ -264,7 +276,7 @@
     this.files.remove(this.resultFile);
   }
 
-  /** Plain form for a snapshot. */
+  /** Returns the serialized form for a snapshot. */
   toData(): JobRecordData {
     return {
       identity: this.identity,
@@ -274,33 +286,34 @@
       itemHashes: [...this.itemHashes],
       bodyBytes: this.bodyBytes,
       resultBytes: this.resultBytes,
-      listed: this.listed,
+      listed: this.resultEntries,
       failedRuns: [...this.failedRuns],
-      progress: [...this.progress].map(([index, kept]) => [index, kept.unit, kept.eventCount]),
-      crashes: [...this.crashes].map(([index, kept]) => [index, kept.runIds, kept.eventCount]),
+      progress: [...this.progress].map(([index, saved]) => [index, saved.unit, saved.eventCount]),
+      crashes: [...this.crashes].map(([index, saved]) => [index, saved.runIds, saved.eventCount]),
     };
   }
 
-  /** Rebuilds a job from its plain form. */
+  /** Rebuilds a job from its serialized form. */
   static fromData(data: JobRecordData, files: ItemFiles): JobRecord {
     const job = new JobRecord(data.identity, files);
     job.ended = data.isEnded;
     job.itemUnits = Uint32Array.from(data.itemUnits);
     job.itemTokens = Uint32Array.from(data.itemTokens);
     job.itemHashes = Uint32Array.from(data.itemHashes);
-    job.isListed = new Uint8Array(data.itemUnits.length);
+    job.hasResult = new Uint8Array(data.itemUnits.length);
     job.bodyBytes = data.bodyBytes;
     job.resultBytes = data.resultBytes;
-    job.listed = data.listed.map(([index, unit]) => [index, unit]);
-    for (const [index] of job.listed) job.isListed[index] = 1;
-    for (const [index, runs] of data.failedRuns) job.failedRuns.set(index, [...runs]);
+    job.resultEntries = data.listed.map(([index, unit]) => [index, unit]);
+    for (const [index] of job.resultEntries) job.hasResult[index] = 1;
+    for (const [index, runIds] of data.failedRuns) job.failedRuns.set(index, [...runIds]);
     for (const [index, unit, eventCount] of data.progress) {
       job.progress.set(index, { unit, eventCount });
     }
     for (const [index, runIds, eventCount] of data.crashes ?? []) {
       job.crashes.set(index, { runIds, eventCount });
     }
-    for (const index of job.unlistedIndexes()) job.waiting += job.itemTokens[index] ?? 0;
+    for (const index of job.indexesWithoutResult())
+      job.unfinishedTokens += job.itemTokens[index] ?? 0;
     return job;
   }
 
@@ -312,9 +325,9 @@
     return `${this.identity.fileName}.texts`;
   }
 
-  private *unlistedIndexes(): Generator<number> {
+  private *indexesWithoutResult(): Generator<number> {
     for (let index = 0; index < this.total; index += 1) {
-      if (this.isListed[index] === 0) yield index;
+      if (this.hasResult[index] === 0) yield index;
     }
   }
 
@@ -322,11 +335,11 @@
     this.itemUnits = new Uint32Array(items.length);
     this.itemTokens = Uint32Array.from(items, (item) => item.tokens);
     this.itemHashes = Uint32Array.from(items, (item) => crc32(item.itemId));
-    this.isListed = new Uint8Array(items.length);
+    this.hasResult = new Uint8Array(items.length);
     for (const [index, item] of items.entries()) {
       this.itemUnits[index] = this.bodyBytes / RECORD_ALIGNMENT_BYTES;
       this.bodyBytes = this.files.writeRecord(this.bodyFile, this.bodyBytes, pack(item));
-      this.waiting += item.tokens;
+      this.unfinishedTokens += item.tokens;
     }
   }
 }
--- a/packages/whole-jobs/src/whole-jobs.test.ts
+++ b/packages/whole-jobs/src/whole-jobs.test.ts
@@ -5,11 +5,11 @@
 import type { SubmitJob, WholeJobCommand } from './commands.js';
 import { WholeJobs } from './whole-jobs.js';
 
-const ITEMS = 3;
-const TOKENS = 10;
-const MAX_WAITING = 65;
+const ITEMS_PER_JOB = 3;
+const TOKENS_PER_ITEM = 10;
+const MAX_WAITING_TOKENS = 65;
 const MAX_ATTEMPTS = 2;
-const KEEP_MS = 60_000;
+const KEEP_ITEMS_MS = 60_000;
 
 function submit(jobId: string, atMs: number): SubmitJob {
   return {
@@ -19,22 +19,22 @@
     host: 'h',
     path: '/p/',
     quotaKey: 'key',
-    maxWaitingTokens: MAX_WAITING,
+    maxWaitingTokens: MAX_WAITING_TOKENS,
     resultsDueMs: 18_000,
-    keepItemsMs: KEEP_MS,
+    keepItemsMs: KEEP_ITEMS_MS,
     maxAttempts: MAX_ATTEMPTS,
-    items: Array.from({ length: ITEMS }, (_, index) => ({
+    items: Array.from({ length: ITEMS_PER_JOB }, (_, index) => ({
       itemId: `${jobId}-${index}`,
       path: '/p/x',
       headers: ['X-A', 'b'],
       body: Buffer.from(`body of ${jobId}-${index}`),
-      tokens: TOKENS,
+      tokens: TOKENS_PER_ITEM,
     })),
   };
 }
 
 const jobId = fc.constantFrom('a', 'b', 'c', 'd');
-const item = fc.record({ jobId, index: fc.nat(ITEMS) });
+const item = fc.record({ jobId, index: fc.nat(ITEMS_PER_JOB) });
 
 const command: fc.Arbitrary<WholeJobCommand> = fc.oneof(
   jobId.map((id) => submit(id, 0)),
@@ -78,40 +78,46 @@
 
 function progressOf(jobs: WholeJobs): unknown {
   return ['a', 'b', 'c', 'd'].map((id) =>
-    Array.from({ length: ITEMS }, (_, index) => jobs.get(id)?.progressOf(index)),
+    Array.from({ length: ITEMS_PER_JOB }, (_, index) => jobs.get(id)?.progressOf(index)),
   );
 }
 
-function listOf(jobs: WholeJobs, id: string): string[] {
+function resultLines(jobs: WholeJobs, id: string): string[] {
   const page = jobs.results(id, 0, Infinity);
   return (page?.results ?? []).map(({ itemId, state, text }) => `${itemId} ${state} ${text}`);
 }
 
 describe('whole jobs', () => {
-  test(title('a listed result never changes, an item is listed once, the quota holds'), (t) => {
-    fc.assert(
-      fc.property(fc.array(command, { maxLength: 60 }), (commands) => {
-        const jobs = new WholeJobs(new MemoryItemFiles());
-        const lists = new Map<string, string[]>();
-        for (const [index, next] of commands.entries()) {
-          jobs.apply(next, index + 1);
-          if (jobs.waitingTokens('key') > MAX_WAITING) return false;
-          for (const id of ['a', 'b', 'c', 'd']) {
-            const list = listOf(jobs, id);
-            const before = lists.get(id) ?? [];
-            if (before.some((line, position) => list[position] !== line)) return false;
-            if (new Set(list.map((line) => line.split(' ')[0])).size !== list.length) return false;
-            lists.set(id, list);
+  test(
+    title(
+      'a stored result never changes, an item has at most one result, and the quota is never exceeded',
+    ),
+    (t) => {
+      fc.assert(
+        fc.property(fc.array(command, { maxLength: 60 }), (commands) => {
+          const jobs = new WholeJobs(new MemoryItemFiles());
+          const resultsByJob = new Map<string, string[]>();
+          for (const [index, next] of commands.entries()) {
+            jobs.apply(next, index + 1);
+            if (jobs.waitingTokens('key') > MAX_WAITING_TOKENS) return false;
+            for (const id of ['a', 'b', 'c', 'd']) {
+              const results = resultLines(jobs, id);
+              const before = resultsByJob.get(id) ?? [];
+              if (before.some((line, position) => results[position] !== line)) return false;
+              if (new Set(results.map((line) => line.split(' ')[0])).size !== results.length)
+                return false;
+              resultsByJob.set(id, results);
+            }
           }
-        }
-        return true;
-      }),
-      { seed: 8 },
-    );
-    t.pass();
-  });
+          return true;
+        }),
+        { seed: 8 },
+      );
+      t.pass();
+    },
+  );
 
-  test(title('a replica from a snapshot goes on as the others do'), (t) => {
+  test(title('a replica restored from a snapshot behaves like the others'), (t) => {
     fc.assert(
       fc.property(
         fc.array(command, { maxLength: 40 }),
@@ -124,13 +130,13 @@
           second.restore(structuredClone(first.toData()));
           for (const [index, next] of after.entries()) {
             const logIndex = before.length + index + 1;
-            const answers = [first.apply(next, logIndex), second.apply(next, logIndex)];
-            if (JSON.stringify(answers[0]) !== JSON.stringify(answers[1])) return false;
+            const replies = [first.apply(next, logIndex), second.apply(next, logIndex)];
+            if (JSON.stringify(replies[0]) !== JSON.stringify(replies[1])) return false;
           }
-          const kept = [first, second].map((jobs) => JSON.stringify(progressOf(jobs)));
-          if (kept[0] !== kept[1]) return false;
+          const progress = [first, second].map((jobs) => JSON.stringify(progressOf(jobs)));
+          if (progress[0] !== progress[1]) return false;
           return ['a', 'b', 'c', 'd'].every(
-            (id) => listOf(first, id).join('\n') === listOf(second, id).join('\n'),
+            (id) => resultLines(first, id).join('\n') === resultLines(second, id).join('\n'),
           );
         },
       ),
@@ -139,16 +145,19 @@
     t.pass();
   });
 
-  test(title('a job sent again is the same job; one beyond the quota is refused whole'), (t) => {
-    const jobs = new WholeJobs(new MemoryItemFiles());
-    t.like(jobs.apply(submit('a', 0), 1), { outcome: 'accepted', waitingTokens: 30 });
-    t.like(jobs.apply(submit('a', 0), 2), { outcome: 'known', waitingTokens: 30 });
-    t.like(jobs.apply(submit('b', 0), 3), { outcome: 'accepted' });
-    t.like(jobs.apply(submit('c', 0), 4), { outcome: 'overQuota', waitingTokens: 60 });
-    t.is(jobs.get('c'), undefined);
-  });
+  test(
+    title('a resubmitted job is the same job; a job over the quota is refused as a whole'),
+    (t) => {
+      const jobs = new WholeJobs(new MemoryItemFiles());
+      t.like(jobs.apply(submit('a', 0), 1), { outcome: 'accepted', waitingTokens: 30 });
+      t.like(jobs.apply(submit('a', 0), 2), { outcome: 'known', waitingTokens: 30 });
+      t.like(jobs.apply(submit('b', 0), 3), { outcome: 'accepted' });
+      t.like(jobs.apply(submit('c', 0), 4), { outcome: 'overQuota', waitingTokens: 60 });
+      t.is(jobs.get('c'), undefined);
+    },
+  );
 
-  test(title('bodies are readable, results in pages with at least one'), (t) => {
+  test(title('reads bodies by item id and results in pages of at least one'), (t) => {
     const jobs = new WholeJobs(new MemoryItemFiles());
     jobs.apply(submit('a', 0), 1);
     t.is(Buffer.from(jobs.get('a')?.findItem('a-1')?.body ?? []).toString(), 'body of a-1');
@@ -169,17 +178,17 @@
     t.is(jobs.results('b', 0, 1000), undefined);
   });
 
-  test(title('keeps the furthest progress of an item until it is over'), (t) => {
+  test(title('keeps the furthest progress of an item until it is finished'), (t) => {
     const jobs = new WholeJobs(new MemoryItemFiles());
     jobs.apply(submit('a', 0), 1);
-    const give = (pieces: string[], logIndex: number): void => {
+    const returnItem = (pieces: string[], logIndex: number): void => {
       const progress = { pieces, lastEventId: String(pieces.length) };
       const returned = [{ jobId: 'a', index: 0, progress }];
       const runs = { holder: 'h', finished: [], failed: [], returned };
       jobs.apply({ type: 'commitRuns', atMs: 0, ...runs }, logIndex);
     };
-    give(['x', 'y'], 2);
-    give(['z'], 3);
+    returnItem(['x', 'y'], 2);
+    returnItem(['z'], 3);
     t.deepEqual(jobs.get('a')?.progressOf(0), { pieces: ['x', 'y'], lastEventId: '2' });
     const finished = [{ jobId: 'a', index: 0, state: 'complete' as const, text: 'x' }];
     const runs = { holder: 'h', finished, failed: [], returned: [] };
@@ -187,35 +196,40 @@
     t.is(jobs.get('a')?.progressOf(0), undefined);
   });
 
-  test(title('gives an item up under which three endpoints ended where it got no further'), (t) => {
-    const jobs = new WholeJobs(new MemoryItemFiles());
-    jobs.apply(submit('a', 0), 1);
-    const crash = (index: number, eventCount: number, runId: string): void => {
-      const pieces = Array.from({ length: eventCount }, () => 'x');
-      const progress = { pieces, lastEventId: String(eventCount) };
-      const runs = { holder: 'h', finished: [], failed: [] };
-      const returned = [{ jobId: 'a', index, progress }];
-      const crashed = [{ jobId: 'a', index, runId }];
-      jobs.apply({ type: 'commitRuns', atMs: 0, ...runs, returned, crashed }, 2);
-    };
-    for (const run of ['r1', 'r2', 'r2', 'r2']) crash(0, 3, run);
-    t.is(jobs.get('a')?.crashCount(0), 2, 'a repeated command counts once');
-    crash(0, 5, 'r3');
-    t.deepEqual(listOf(jobs, 'a'), ['a-0 errored given up: 3 endpoints ended while they ran it']);
-    for (const [number, eventCount] of [20, 50, 90, 130].entries()) {
-      crash(1, eventCount, `r${number}`);
-      t.is(jobs.get('a')?.crashCount(1), 1, 'an item that gets on is not blamed');
-    }
-  });
+  test(
+    title('gives up an item after three endpoint crashes without progress between them'),
+    (t) => {
+      const jobs = new WholeJobs(new MemoryItemFiles());
+      jobs.apply(submit('a', 0), 1);
+      const crash = (index: number, eventCount: number, runId: string): void => {
+        const pieces = Array.from({ length: eventCount }, () => 'x');
+        const progress = { pieces, lastEventId: String(eventCount) };
+        const runs = { holder: 'h', finished: [], failed: [] };
+        const returned = [{ jobId: 'a', index, progress }];
+        const crashed = [{ jobId: 'a', index, runId }];
+        jobs.apply({ type: 'commitRuns', atMs: 0, ...runs, returned, crashed }, 2);
+      };
+      for (const runId of ['r1', 'r2', 'r2', 'r2']) crash(0, 3, runId);
+      t.is(jobs.get('a')?.crashCount(0), 2, 'a repeated command counts once');
+      crash(0, 5, 'r3');
+      t.deepEqual(resultLines(jobs, 'a'), [
+        'a-0 errored given up: 3 endpoints ended while they ran it',
+      ]);
+      for (const [number, eventCount] of [20, 50, 90, 130].entries()) {
+        crash(1, eventCount, `r${number}`);
+        t.is(jobs.get('a')?.crashCount(1), 1, 'progress restarts the count');
+      }
+    },
+  );
 
-  test(title('gives items up only after their time, and forgets only what is over'), (t) => {
+  test(title('gives up items only after their keep time, and deletes only finished jobs'), (t) => {
     const jobs = new WholeJobs(new MemoryItemFiles());
     jobs.apply(submit('a', 0), 1);
-    jobs.apply({ type: 'sweep', atMs: KEEP_MS - 1, retentionMs: 1000 }, 2);
-    t.is(jobs.get('a')?.listedCount, 0);
-    jobs.apply({ type: 'sweep', atMs: KEEP_MS, retentionMs: KEEP_MS * 2 }, 3);
-    t.is(jobs.get('a')?.listedCount, ITEMS);
-    jobs.apply({ type: 'sweep', atMs: KEEP_MS * 2, retentionMs: KEEP_MS * 2 }, 4);
+    jobs.apply({ type: 'sweep', atMs: KEEP_ITEMS_MS - 1, retentionMs: 1000 }, 2);
+    t.is(jobs.get('a')?.resultCount, 0);
+    jobs.apply({ type: 'sweep', atMs: KEEP_ITEMS_MS, retentionMs: KEEP_ITEMS_MS * 2 }, 3);
+    t.is(jobs.get('a')?.resultCount, ITEMS_PER_JOB);
+    jobs.apply({ type: 'sweep', atMs: KEEP_ITEMS_MS * 2, retentionMs: KEEP_ITEMS_MS * 2 }, 4);
     t.is(jobs.get('a'), undefined);
     t.deepEqual(jobs.fileSizes(), []);
   });
--- a/packages/whole-jobs/src/whole-jobs.ts
+++ b/packages/whole-jobs/src/whole-jobs.ts
@@ -1,5 +1,5 @@
 /**
- * State machine of a group of whole jobs. Applying the same commands in the same order gives the
+ * State machine of a group of whole jobs. Applying the same commands in the same order yields the
  * same state and the same file contents on every replica.
  */
 import { match } from 'ts-pattern';
@@ -16,12 +16,12 @@
 import { JobRecord } from './job-record.js';
 import type { JobRecordData, JobResult } from './job-record.js';
 
-/** Part of the results of a job. */
+/** One page of the results of a job. */
 export interface ResultsPage {
   /** Number of items of the job. */
   readonly total: number;
   readonly results: readonly JobResult[];
-  /** Position to go on from. */
+  /** Position at which the next page starts. */
   readonly nextPosition: number;
 }
 
@@ -34,19 +34,19 @@
 export class WholeJobs {
   private readonly files: ItemFiles;
   private readonly jobs = new Map<string, JobRecord>();
-  private readonly waiting = new Map<string, number>();
+  private readonly waitingTokensByQuotaKey = new Map<string, number>();
   private clockMs = 0;
 
   constructor(files: ItemFiles) {
     this.files = files;
   }
 
-  /** Jobs in the order of their submission. */
+  /** Jobs in order of submission. */
   get all(): IterableIterator<JobRecord> {
     return this.jobs.values();
   }
 
-  /** A job by id. */
+  /** Returns a job by id. */
   get(jobId: string): JobRecord | undefined {
     return this.jobs.get(jobId);
   }
@@ -62,14 +62,16 @@
       .exhaustive();
   }
 
-  /** Results from a position on, up to about `maxBytes` but at least one. */
+  /**
+   * Returns results from a position on: about `maxBytes` at most, but at least one result if any.
+   */
   results(jobId: string, position: number, maxBytes: number): ResultsPage | undefined {
     const job = this.jobs.get(jobId);
     if (job === undefined) return undefined;
     const results: JobResult[] = [];
     let bytes = 0;
     let next = position;
-    while (next < job.listedCount) {
+    while (next < job.resultCount) {
       const result = job.resultAt(next);
       if (result === undefined) break;
       bytes += result.text.length + result.itemId.length;
@@ -80,32 +82,32 @@
     return { total: job.total, results, nextPosition: next };
   }
 
-  /** Tokens of the items that wait under a quota key. */
+  /** Sum of the waiting tokens of the jobs with a quota key. */
   waitingTokens(quotaKey: string): number {
-    return this.waiting.get(quotaKey) ?? 0;
+    return this.waitingTokensByQuotaKey.get(quotaKey) ?? 0;
   }
 
-  /** Files in use and how much of each is valid. */
+  /** Files in use and the valid size of each. */
   fileSizes(): { file: string; sizeBytes: number }[] {
     return [...this.jobs.values()].flatMap((job) => job.fileSizes());
   }
 
-  /** The state in plain form, for a snapshot. */
+  /** Returns the serialized state for a snapshot. */
   toData(): unknown {
     const jobs = [...this.jobs.values()].map((job) => job.toData());
     return { clockMs: this.clockMs, jobs } satisfies WholeJobsData;
   }
 
-  /** Takes the place of what is here. */
-  restore(plain: unknown): void {
-    const data = plain as WholeJobsData;
+  /** Replaces the state by that of a snapshot. */
+  restore(state: unknown): void {
+    const data = state as WholeJobsData;
     this.clockMs = data.clockMs;
     this.jobs.clear();
-    this.waiting.clear();
+    this.waitingTokensByQuotaKey.clear();
     for (const jobData of data.jobs) {
       const job = JobRecord.fromData(jobData, this.files);
       this.jobs.set(job.identity.jobId, job);
-      this.addWaiting(job.identity.quotaKey, job.waitingTokens);
+      this.addWaitingTokens(job.identity.quotaKey, job.waitingTokens);
     }
   }
 
@@ -117,21 +119,21 @@
     if (maxWaitingTokens > 0 && waitingTokens + added > maxWaitingTokens) {
       return { outcome: 'overQuota', waitingTokens };
     }
-    const timed = { ...command, atMs: this.clockMs };
-    // The log index keeps the files of a job apart from those of a forgotten one.
-    const job = JobRecord.submitted(timed, `job-${logIndex}`, this.files);
+    const timestamped = { ...command, atMs: this.clockMs };
+    // The log index distinguishes the files from those of a deleted job with the same id.
+    const job = JobRecord.submitted(timestamped, `job-${logIndex}`, this.files);
     this.jobs.set(command.jobId, job);
-    this.addWaiting(quotaKey, added);
+    this.addWaitingTokens(quotaKey, added);
     return { outcome: 'accepted', waitingTokens: waitingTokens + added };
   }
 
   private commit(command: CommitRuns): CommitAnswer {
     let stored = 0;
     for (const { jobId, index, state, text } of command.finished) {
-      if (this.changing(jobId, (job) => job.finish(index, state, text))) stored += 1;
+      if (this.updateJob(jobId, (job) => job.finish(index, state, text))) stored += 1;
     }
     for (const { jobId, index, runId } of command.failed) {
-      this.changing(jobId, (job) => {
+      this.updateJob(jobId, (job) => {
         job.countFailure(index, runId);
         return true;
       });
@@ -140,7 +142,7 @@
       if (progress !== undefined) this.jobs.get(jobId)?.saveProgress(index, progress);
     }
     for (const { jobId, index, runId } of command.crashed ?? []) {
-      this.changing(jobId, (job) => {
+      this.updateJob(jobId, (job) => {
         job.countCrash(index, runId);
         return true;
       });
@@ -149,7 +151,7 @@
   }
 
   private end(jobId: string): EndAnswer {
-    const isKnown = this.changing(jobId, (job) => {
+    const isKnown = this.updateJob(jobId, (job) => {
       job.end();
       return true;
     });
@@ -169,25 +171,25 @@
   }
 
   private giveUpItems(jobId: string): void {
-    this.changing(jobId, (job) => {
+    this.updateJob(jobId, (job) => {
       for (const index of [...job.openIndexes()]) job.finish(index, 'errored', '');
       return true;
     });
   }
 
-  /** Changes a job and keeps the sum of waiting tokens true. */
-  private changing(jobId: string, change: (job: JobRecord) => boolean): boolean {
+  /** Changes a job and updates the sum of waiting tokens; false if the job is unknown. */
+  private updateJob(jobId: string, change: (job: JobRecord) => boolean): boolean {
     const job = this.jobs.get(jobId);
     if (job === undefined) return false;
     const before = job.waitingTokens;
     const changed = change(job);
-    this.addWaiting(job.identity.quotaKey, job.waitingTokens - before);
+    this.addWaitingTokens(job.identity.quotaKey, job.waitingTokens - before);
     return changed;
   }
 
-  private addWaiting(quotaKey: string, tokens: number): void {
+  private addWaitingTokens(quotaKey: string, tokens: number): void {
     const sum = this.waitingTokens(quotaKey) + tokens;
-    if (sum > 0) this.waiting.set(quotaKey, sum);
-    else this.waiting.delete(quotaKey);
+    if (sum > 0) this.waitingTokensByQuotaKey.set(quotaKey, sum);
+    else this.waitingTokensByQuotaKey.delete(quotaKey);
   }
 }
