--- a/packages/jobs/src/call-claims.ts
+++ b/packages/jobs/src/call-claims.ts
@@ -1,14 +1,14 @@
 /**
- * Claims of non-idempotent calls: a key is claimed before the one send, and its answer is
- * kept, so that a resend of the key never runs the call again.
+ * Claims of non-idempotent calls. A key is claimed before the single attempt and the response is
+ * recorded, so that a retry with the same key never runs the call again.
  */
 import type { ItemFiles } from '@shedline/storage';
 import type { ClaimAnswer, ClaimCall, FinishCall } from './commands.js';
 
-/** Claims whose answers share one file. */
+/** Number of claims whose responses share one file. */
 const CLAIMS_PER_FILE = 1024;
-/** A claim without an answer counts as in doubt this long after its deadline. */
-const GRACE_MS = 5000;
+/** Time after its deadline from which a claim without a response counts as in doubt. */
+const IN_DOUBT_GRACE_MS = 5000;
 
 interface Claim {
   readonly claimId: string;
@@ -22,14 +22,14 @@
   offset: number;
 }
 
-/** The plain form of {@link CallClaims} in a snapshot. */
+/** Serialized form of {@link CallClaims} in a snapshot. */
 export interface CallClaimsData {
   readonly claims: readonly [string, Claim][];
   readonly recordedCount: number;
   readonly fileBytes: number;
 }
 
-/** The claims of one group. */
+/** Claims of one group. */
 export class CallClaims {
   private claims = new Map<string, Claim>();
   private recordedCount = 0;
@@ -40,35 +40,35 @@
     this.files = files;
   }
 
-  /** Claims remembered. */
+  /** Number of claims kept. */
   get size(): number {
     return this.claims.size;
   }
 
-  /** Claims a key, or tells what became of it. */
+  /** Claims a key, or returns the state of an existing claim. */
   claim(command: ClaimCall): ClaimAnswer {
-    const known = this.claims.get(command.key);
-    if (known === undefined) {
-      this.claims.set(command.key, newClaim(command));
+    const existing = this.claims.get(command.key);
+    if (existing === undefined) {
+      this.claims.set(command.key, createClaim(command));
       return { ok: true, claim: 'granted' };
     }
-    if (known.requestHash !== command.requestHash) return { ok: true, claim: 'mismatch' };
-    if (known.state === 'recorded') return this.recordedAnswer(known);
-    const resent = known.claimId === command.claimId && known.state === 'inProgress';
-    if (resent) return { ok: true, claim: 'granted' };
-    const overdue = command.atMs > known.claimedAtMs + known.deadlineMs + GRACE_MS;
-    const doubtful = known.state === 'inDoubt' || overdue;
-    return { ok: true, claim: doubtful ? 'inDoubt' : 'inProgress' };
+    if (existing.requestHash !== command.requestHash) return { ok: true, claim: 'mismatch' };
+    if (existing.state === 'recorded') return this.recordedReply(existing);
+    const isRetry = existing.claimId === command.claimId && existing.state === 'inProgress';
+    if (isRetry) return { ok: true, claim: 'granted' };
+    const isOverdue = command.atMs > existing.claimedAtMs + existing.deadlineMs + IN_DOUBT_GRACE_MS;
+    const isInDoubt = existing.state === 'inDoubt' || isOverdue;
+    return { ok: true, claim: isInDoubt ? 'inDoubt' : 'inProgress' };
   }
 
-  /** Notes how a claimed call ended; the first recorded answer stays. */
+  /** Records the outcome of a claimed call; the first recorded response is final. */
   finish(command: FinishCall): void {
     const claim = this.claims.get(command.key);
     if (claim === undefined || claim.state === 'recorded') return;
     if (command.outcome === 'notRun') {
-      // Only the holder of a fresh claim knows that nothing was sent.
-      const holder = claim.claimId === command.claimId;
-      if (holder && claim.state === 'inProgress') this.claims.delete(command.key);
+      // Only the holder of a claim in progress can be certain that nothing was sent.
+      const isHolder = claim.claimId === command.claimId;
+      if (isHolder && claim.state === 'inProgress') this.claims.delete(command.key);
       return;
     }
     if (command.outcome === 'inDoubt') {
@@ -78,31 +78,31 @@
     this.record(claim, command);
   }
 
-  /** Forgets claims older than the retention. */
-  forgetBefore(atMs: number): void {
+  /** Removes claims made before `atMs`, and the files that are no longer used. */
+  removeBefore(atMs: number): void {
     const filesInUse = new Set<string>([this.currentFile()]);
-    const filesDropped = new Set<string>();
+    const releasedFiles = new Set<string>();
     for (const [key, claim] of this.claims) {
       if (claim.claimedAtMs >= atMs) {
         filesInUse.add(claim.file);
         continue;
       }
       this.claims.delete(key);
-      if (claim.file !== '') filesDropped.add(claim.file);
+      if (claim.file !== '') releasedFiles.add(claim.file);
     }
-    for (const file of filesDropped) {
+    for (const file of releasedFiles) {
       if (!filesInUse.has(file)) this.files.remove(file);
     }
   }
 
-  /** Files in use and how much of each is valid. */
+  /** Files in use and the valid size of each. */
   fileSizes(): { file: string; sizeBytes: number }[] {
     const files = new Set([...this.claims.values()].map((claim) => claim.file));
     files.delete('');
     return [...files].map((file) => ({ file, sizeBytes: this.validBytes(file) }));
   }
 
-  /** Plain form for a snapshot. */
+  /** Returns the serialized form for a snapshot. */
   toData(): CallClaimsData {
     return {
       claims: [...this.claims].map(([key, claim]) => [key, { ...claim }]),
@@ -111,7 +111,7 @@
     };
   }
 
-  /** Takes the place of what is here. */
+  /** Replaces the claims by those of a snapshot. */
   restore(data: CallClaimsData): void {
     this.claims = new Map(data.claims.map(([key, claim]) => [key, { ...claim }]));
     this.recordedCount = data.recordedCount;
@@ -129,7 +129,7 @@
     if (this.recordedCount % CLAIMS_PER_FILE === 0) this.fileBytes = 0;
   }
 
-  private recordedAnswer(claim: Claim): ClaimAnswer {
+  private recordedReply(claim: Claim): ClaimAnswer {
     return {
       ok: true,
       claim: 'recorded',
@@ -143,13 +143,13 @@
     return `calls-${Math.floor(this.recordedCount / CLAIMS_PER_FILE)}`;
   }
 
-  /** A file that is no longer written is valid to its end. */
+  /** Valid size of a file; a file that is no longer written is valid to its end. */
   private validBytes(file: string): number {
     return file === this.currentFile() ? this.fileBytes : Number.MAX_SAFE_INTEGER;
   }
 }
 
-function newClaim(command: ClaimCall): Claim {
+function createClaim(command: ClaimCall): Claim {
   return {
     claimId: command.claimId,
     requestHash: command.requestHash,
--- a/packages/jobs/src/commands.ts
+++ b/packages/jobs/src/commands.ts
@@ -1,15 +1,15 @@
 /**
- * Commands of the job groups and their answers. A command carries `atMs`, the wall clock of
- * the leader that proposed it; replicas never read a clock of their own.
+ * Commands of the job groups and their replies. A command carries `atMs`, the wall clock of
+ * the leader that proposed it. Replicas never read their own clocks.
  */
 import type { ItemLease, ItemResult, ItemReturn, JobView, PastDuePolicy } from '@shedline/types';
 
-interface Timed {
+interface Timestamped {
   readonly atMs: number;
 }
 
-/** Creates a job, or finds the one with the same key. */
-export interface CreateJob extends Timed {
+/** Creates a job, or returns the existing job with the same key. */
+export interface CreateJob extends Timestamped {
   readonly type: 'createJob';
   readonly jobId: string;
   readonly workspace: string;
@@ -20,18 +20,18 @@
   readonly pastDue: PastDuePolicy;
 }
 
-/** Adds items from an index on. */
-export interface PutItems extends Timed {
+/** Adds items starting at an index. */
+export interface PutItems extends Timestamped {
   readonly type: 'putItems';
   readonly jobId: string;
   readonly workspace: string;
   readonly fromIndex: number;
-  /** One JSON text an item; none contains a line break. */
+  /** One JSON text per item, without line breaks. */
   readonly lines: readonly string[];
 }
 
 /** Ends the upload. */
-export interface SealJob extends Timed {
+export interface SealJob extends Timestamped {
   readonly type: 'sealJob';
   readonly jobId: string;
   readonly workspace: string;
@@ -39,14 +39,14 @@
 }
 
 /** Stops a job. */
-export interface CancelJob extends Timed {
+export interface CancelJob extends Timestamped {
   readonly type: 'cancelJob';
   readonly jobId: string;
   readonly workspace: string;
 }
 
 /** Leases items of one service to an entry. */
-export interface GrantItems extends Timed {
+export interface GrantItems extends Timestamped {
   readonly type: 'grantItems';
   readonly owner: string;
   readonly workspace: string;
@@ -54,47 +54,47 @@
   readonly maxItems: number;
 }
 
-/** Says durably that non-idempotent items are about to be sent. */
-export interface StartItems extends Timed {
+/** Records durably that non-idempotent items are about to be sent. */
+export interface StartItems extends Timestamped {
   readonly type: 'startItems';
   readonly leaseId: string;
   readonly jobId: string;
   readonly indexes: readonly number[];
 }
 
-/** Stores results and takes items back, in one group commit. */
-export interface CommitItems extends Timed {
+/** Stores results and takes returned items back, in one group commit. */
+export interface CommitItems extends Timestamped {
   readonly type: 'commitItems';
   readonly owner: string;
   readonly results: readonly ItemResult[];
   readonly returns: readonly ItemReturn[];
 }
 
-/** Takes back what a silent holder had. */
-export interface ExpireLeases extends Timed {
+/** Takes back the items leased to an unresponsive holder. */
+export interface ExpireLeases extends Timestamped {
   readonly type: 'expireLeases';
   readonly leaseIds: readonly string[];
 }
 
-/** Ends items past due where the row says so, and forgets old jobs and calls. */
-export interface Housekeep extends Timed {
+/** Fails pending items past due if their row requires it, and deletes old jobs and call claims. */
+export interface Housekeep extends Timestamped {
   readonly type: 'housekeep';
   readonly jobRetentionMs: number;
   readonly callRetentionMs: number;
 }
 
-/** Claims a non-idempotent call before its one send. */
-export interface ClaimCall extends Timed {
+/** Claims a non-idempotent call before its single attempt. */
+export interface ClaimCall extends Timestamped {
   readonly type: 'claimCall';
   readonly key: string;
-  /** Names the claimant, so that a claim whose answer was lost can be asked for again. */
+  /** Identifies the claimant, so that a claim can be retried if its reply was lost. */
   readonly claimId: string;
   readonly requestHash: string;
   readonly deadlineMs: number;
 }
 
-/** How a claimed call ended. */
-export interface FinishCall extends Timed {
+/** Records the outcome of a claimed call. */
+export interface FinishCall extends Timestamped {
   readonly type: 'finishCall';
   readonly key: string;
   readonly claimId: string;
@@ -118,40 +118,41 @@
   | ClaimCall
   | FinishCall;
 
-/** Why a command was refused. */
+/** Reply to a refused command. */
 export interface Refusal {
   readonly ok: false;
   readonly reason: 'notFound' | 'conflict' | 'invalid';
   readonly message: string;
 }
 
-/** Answer to a command on a job. */
+/** Reply to a command on a job. */
 export interface JobAnswer {
   readonly ok: true;
+  /** Whether the command created the job. */
   readonly created: boolean;
   readonly job: JobView;
 }
 
-/** Answer to {@link GrantItems}. */
+/** Reply to {@link GrantItems}. */
 export interface GrantAnswer {
   readonly ok: true;
   readonly leases: readonly ItemLease[];
 }
 
-/** Answer to {@link StartItems}: the items that may be sent. */
+/** Reply to {@link StartItems}: the items that may be sent. */
 export interface StartAnswer {
   readonly ok: true;
   readonly started: readonly number[];
 }
 
-/** Answer to {@link CommitItems}. */
+/** Reply to {@link CommitItems}: the numbers of results stored and dropped. */
 export interface CommitAnswer {
   readonly ok: true;
   readonly stored: number;
   readonly dropped: number;
 }
 
-/** Answer to {@link ClaimCall}. */
+/** Reply to {@link ClaimCall}. */
 export type ClaimAnswer =
   | { readonly ok: true; readonly claim: 'granted' | 'inProgress' | 'inDoubt' | 'mismatch' }
   | {
@@ -162,11 +163,11 @@
       readonly body: Uint8Array;
     };
 
-/** Answer to a command that has nothing to tell. */
+/** Reply to a command without a result. */
 export interface DoneAnswer {
   readonly ok: true;
 }
 
-/** Any answer of a job group. */
+/** Any reply of a job group. */
 export type JobGroupAnswer =
   Refusal | JobAnswer | GrantAnswer | StartAnswer | CommitAnswer | ClaimAnswer | DoneAnswer;
--- a/packages/jobs/src/index.ts
+++ b/packages/jobs/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * Batch jobs and call claims.
+ * Replicated state of batch jobs that are uploaded in chunks, and claims of non-idempotent calls.
  */
 export * from './commands.js';
 export * from './jobs.js';
--- a/packages/jobs/src/item-table.ts
+++ b/packages/jobs/src/item-table.ts
@@ -1,18 +1,19 @@
 /**
- * The items of one job in a few bytes each: a state, and where the result is.
+ * Compact table of the items of one job: the state and the location of the result, in a few bytes
+ * per item.
  */
 import { ITEM_STATES } from '@shedline/types';
 import type { ItemState } from '@shedline/types';
 
 const INITIAL_CAPACITY = 64;
 
-/** The plain form of an {@link ItemTable} in a snapshot. */
+/** Serialized form of an {@link ItemTable} in a snapshot. */
 export interface ItemTableData {
   readonly states: Uint8Array;
   readonly resultOffsets: Uint8Array;
 }
 
-/** States and result places of the items of one job. */
+/** States and result locations of the items of one job. */
 export class ItemTable {
   private size = 0;
   private states = new Uint8Array(INITIAL_CAPACITY);
@@ -24,7 +25,7 @@
     return this.size;
   }
 
-  /** Bytes of memory that the items take. */
+  /** Memory used by the items, in bytes. */
   get memoryBytes(): number {
     return this.states.byteLength + this.resultOffsets.byteLength;
   }
@@ -37,7 +38,7 @@
     this.countByState[0] = (this.countByState[0] ?? 0) + count;
   }
 
-  /** State of an item. */
+  /** Returns the state of an item. */
   state(index: number): ItemState {
     return ITEM_STATES[this.states[index] ?? 0] ?? 'pending';
   }
@@ -51,28 +52,28 @@
     this.countByState[after] = (this.countByState[after] ?? 0) + 1;
   }
 
-  /** Number of items in a state. */
+  /** Returns the number of items in a state. */
   count(state: ItemState): number {
     return this.countByState[ITEM_STATES.indexOf(state)] ?? 0;
   }
 
-  /** Where the result of an item is, in alignment units plus one; zero: nowhere. */
+  /** Location of the result of an item, in alignment units plus one; 0 if there is no result. */
   resultUnit(index: number): number {
     return this.resultOffsets[index] ?? 0;
   }
 
-  /** Notes where the result of an item is. */
+  /** Sets the location of the result of an item, in alignment units plus one. */
   setResultUnit(index: number, unit: number): void {
     this.resultOffsets[index] = unit;
   }
 
-  /** Drops the spare room that growing left, once no more items come. */
+  /** Releases spare capacity; called once no more items are added. */
   trim(): void {
     this.states = this.states.slice(0, this.size);
     this.resultOffsets = this.resultOffsets.slice(0, this.size);
   }
 
-  /** Plain form for a snapshot. */
+  /** Returns the serialized form for a snapshot. */
   toData(): ItemTableData {
     const offsets = this.resultOffsets.slice(0, this.size);
     return {
@@ -81,7 +82,7 @@
     };
   }
 
-  /** Rebuilds a table from its plain form. */
+  /** Rebuilds a table from its serialized form. */
   static fromData(data: ItemTableData): ItemTable {
     const table = new ItemTable();
     table.size = data.states.length;
--- a/packages/jobs/src/job-record.ts
+++ b/packages/jobs/src/job-record.ts
@@ -1,5 +1,5 @@
 /**
- * One batch job: its upload, the states of its items and where their bytes are.
+ * A batch job: its upload, the states of its items and the location of their data.
  */
 import { RECORD_ALIGNMENT_BYTES } from '@shedline/storage';
 import type { ItemFiles } from '@shedline/storage';
@@ -7,18 +7,20 @@
 import { ItemTable } from './item-table.js';
 import type { ItemTableData } from './item-table.js';
 
-/** Times that an item may end with its endpoint before it counts as failed. */
+/** Number of endpoint losses during runs of an item after which the item fails. */
 export const MAX_ENDPOINT_LOSSES = 3;
-/** Attempts at an item that fails in a way that may pass. */
+/** Maximum number of attempts of an item that fails with retryable errors. */
 export const MAX_ATTEMPTS = 5;
 const FIRST_BACKOFF_MS = 500;
-const NOT_RUN_BACKOFF_MS = 1000;
-/** Items ended by one housekeeping step, so that a huge job does not stall the others. */
-const MAX_STOPPED_AT_ONCE = 2000;
-/** Returned items looked at for one that is ready. */
+const NOT_RUN_DELAY_MS = 1000;
+/**
+ * Maximum number of items ended per housekeeping step, so that a huge job does not stall others.
+ */
+const MAX_STOPPED_PER_STEP = 2000;
+/** Maximum number of returned items scanned per grant for items that are ready. */
 const RETURNED_SCAN_LIMIT = 256;
 
-/** What a job is created with. */
+/** Immutable properties of a job. */
 export interface JobIdentity {
   readonly jobId: string;
   readonly workspace: string;
@@ -28,18 +30,20 @@
   readonly idempotent: boolean;
   readonly pastDue: PastDuePolicy;
   readonly createdAtMs: number;
-  /** Base name of the job's files; unique even if the job is forgotten and made again. */
+  /** Base name of the job's files; unique even if the job is deleted and created again. */
   readonly fileName: string;
 }
 
-/** Attempts at an item that did not go smoothly. */
+/** Retry state of an item that was returned. */
 interface Attempts {
+  /** Number of failed attempts. */
   attempts: number;
   endpointLosses: number;
+  /** Earliest time of the next grant. */
   readyAtMs: number;
 }
 
-/** The plain form of a {@link JobRecord} in a snapshot. */
+/** Serialized form of a {@link JobRecord} in a snapshot. */
 export interface JobRecordData {
   readonly identity: JobIdentity;
   readonly state: JobState;
@@ -55,7 +59,7 @@
   readonly finishedAtMs: number;
 }
 
-/** One job with its items. */
+/** A job with its items. */
 export class JobRecord {
   readonly identity: JobIdentity;
   state: JobState = 'open';
@@ -64,10 +68,10 @@
   private items = new ItemTable();
   private payloadBytes = 0;
   private resultBytes = 0;
-  /** First item and offset of each payload record. */
+  /** Index of the first item of each payload record. */
   private recordFirsts: number[] = [];
   private recordOffsets: number[] = [];
-  /** First item never handed out. */
+  /** Index of the first item that was never leased. */
   private cursor = 0;
   private returned: number[] = [];
   private attempts = new Map<number, Attempts>();
@@ -79,27 +83,27 @@
     this.files = files;
   }
 
-  /** Items received so far. */
+  /** Number of items received so far. */
   get received(): number {
     return this.items.length;
   }
 
-  /** Items that are neither final nor handed out. */
+  /** Number of items that are neither final nor leased. */
   get pendingCount(): number {
     return this.items.count('pending');
   }
 
-  /** Items without a final state. */
+  /** Number of items without a final state. */
   get openCount(): number {
     return this.pendingCount + this.items.count('leased') + this.items.count('started');
   }
 
-  /** Bytes of memory for the items. */
+  /** Memory used by the items, in bytes. */
   get memoryBytes(): number {
     return this.items.memoryBytes + 16 * this.recordFirsts.length;
   }
 
-  /** Files of the job and how much of each is valid. */
+  /** Files of the job and the valid size of each. */
   fileSizes(): { file: string; sizeBytes: number }[] {
     return [
       { file: this.payloadFile, sizeBytes: this.payloadBytes },
@@ -107,7 +111,7 @@
     ];
   }
 
-  /** Adds items behind those received. */
+  /** Appends items to those received. */
   appendItems(lines: readonly string[]): void {
     if (lines.length === 0) return;
     this.recordFirsts.push(this.items.length);
@@ -117,17 +121,20 @@
     this.items.extend(lines.length);
   }
 
-  /** The first of `lines` that differs from what is stored from `fromIndex` on; -1: none. */
+  /**
+   * Returns the position of the first line that differs from the stored items from `fromIndex` on;
+   * -1 if none.
+   */
   firstDifference(fromIndex: number, lines: readonly string[]): number {
     return lines.findIndex((line, offset) => this.line(fromIndex + offset) !== line);
   }
 
-  /** Text of an item as received. */
+  /** Returns the text of an item as received. */
   line(index: number): string {
     const cached = this.cachedRecord;
-    const inCache =
+    const isCached =
       cached !== undefined && index >= cached.first && index < cached.first + cached.lines.length;
-    const record = inCache ? cached : this.loadRecord(index);
+    const record = isCached ? cached : this.loadRecord(index);
     return record.lines[index - record.first] ?? '';
   }
 
@@ -137,35 +144,35 @@
     this.items.trim();
   }
 
-  /** Hands out up to `maxItems` pending items. */
-  take(maxItems: number, nowMs: number): number[] {
-    const taken = this.takeReturned(maxItems, nowMs);
-    while (taken.length < maxItems && this.cursor < this.items.length) {
+  /** Marks up to `maxItems` pending items as leased and returns their indexes. */
+  leaseItems(maxItems: number, nowMs: number): number[] {
+    const leased = this.leaseReturned(maxItems, nowMs);
+    while (leased.length < maxItems && this.cursor < this.items.length) {
       const index = this.cursor;
       this.cursor += 1;
       if (this.items.state(index) !== 'pending') continue;
       this.items.setState(index, 'leased');
-      taken.push(index);
+      leased.push(index);
     }
-    return taken;
+    return leased;
   }
 
-  /** State of an item. */
+  /** Returns the state of an item. */
   itemState(index: number): ItemState {
     return this.items.state(index);
   }
 
-  /** Number of the attempt that is due or under way, from 1. */
-  attemptOf(index: number): number {
+  /** Number of the current or next attempt of an item, from 1. */
+  attemptNumber(index: number): number {
     return (this.attempts.get(index)?.attempts ?? 0) + 1;
   }
 
-  /** Whether the item is suspected of killing endpoints. */
-  runsAlone(index: number): boolean {
+  /** Whether the item is suspected of crashing endpoints. */
+  mustRunAlone(index: number): boolean {
     return (this.attempts.get(index)?.endpointLosses ?? 0) > 0;
   }
 
-  /** Marks an item as about to be sent; false where it may not be. */
+  /** Marks a leased item as about to be sent; returns false if it may not be sent. */
   start(index: number): boolean {
     if (this.items.state(index) !== 'leased') return false;
     this.items.setState(index, 'started');
@@ -174,7 +181,7 @@
 
   /** Stores a result if it is the first for its item. */
   finish(index: number, state: ItemState, body: string, nowMs: number): boolean {
-    if (index >= this.items.length || !this.takesResult(index, nowMs)) {
+    if (index >= this.items.length || !this.acceptsResult(index, nowMs)) {
       this.duplicatesDropped += 1;
       return false;
     }
@@ -184,73 +191,77 @@
     this.resultBytes = this.files.writeRecord(this.resultFile, this.resultBytes, bytes);
     this.items.setState(index, state);
     this.attempts.delete(index);
-    this.finishJobIfDone(nowMs);
+    this.completeIfDone(nowMs);
     return true;
   }
 
-  /** Puts an item back that nobody has run. */
-  putBack(index: number, options: { readonly readyAtMs: number }): void {
+  /** Returns a leased or started item to the queue of pending items. */
+  requeue(index: number, options: { readonly readyAtMs: number }): void {
     const state = this.items.state(index);
     if (state !== 'leased' && state !== 'started') return;
     this.items.setState(index, 'pending');
     this.returned.push(index);
-    if (options.readyAtMs > 0) this.attemptsOf(index).readyAtMs = options.readyAtMs;
+    if (options.readyAtMs > 0) this.attemptsEntry(index).readyAtMs = options.readyAtMs;
   }
 
-  /** Takes an item back that no byte of reached an endpoint. */
-  returnNotRun(index: number, nowMs: number): void {
-    this.putBack(index, { readyAtMs: nowMs + NOT_RUN_BACKOFF_MS });
+  /** Requeues an item of which no byte reached an endpoint. */
+  requeueNotRun(index: number, nowMs: number): void {
+    this.requeue(index, { readyAtMs: nowMs + NOT_RUN_DELAY_MS });
   }
 
-  /** Takes an item back after a failure that may pass; ends it after too many. */
-  returnFailed(index: number, nowMs: number, lostEndpoint: boolean, cause: string): void {
+  /** Requeues an item with backoff after a retryable failure; fails it after too many attempts. */
+  recordFailure(index: number, nowMs: number, isEndpointLoss: boolean, cause: string): void {
     const state = this.items.state(index);
     if (state !== 'leased' && state !== 'started') return;
-    const entry = this.attemptsOf(index);
+    const entry = this.attemptsEntry(index);
     entry.attempts += 1;
-    if (lostEndpoint) entry.endpointLosses += 1;
-    const tooOften = entry.endpointLosses >= MAX_ENDPOINT_LOSSES || entry.attempts >= MAX_ATTEMPTS;
-    if (tooOften) {
+    if (isEndpointLoss) entry.endpointLosses += 1;
+    const isExhausted =
+      entry.endpointLosses >= MAX_ENDPOINT_LOSSES || entry.attempts >= MAX_ATTEMPTS;
+    if (isExhausted) {
       const message = `gave up after ${entry.attempts} attempts: ${cause}`;
       this.finish(index, 'failed', failureBody(message, entry.attempts), nowMs);
       return;
     }
     const backoffMs = FIRST_BACKOFF_MS * 2 ** (entry.attempts - 1);
-    this.putBack(index, { readyAtMs: nowMs + backoffMs });
+    this.requeue(index, { readyAtMs: nowMs + backoffMs });
   }
 
-  /** The holder of the item is gone: what may have been sent and may not be resent is in doubt. */
-  abandon(index: number, nowMs: number): void {
+  /**
+   * Handles an item that its holder no longer runs: a leased item is requeued; a started item may
+   * have been sent and may not be retried, so it is in doubt.
+   */
+  requeueOrMarkInDoubt(index: number, nowMs: number): void {
     const state = this.items.state(index);
-    if (state === 'leased') this.putBack(index, { readyAtMs: 0 });
+    if (state === 'leased') this.requeue(index, { readyAtMs: 0 });
     if (state === 'started') {
       this.finish(index, 'inDoubt', failureBody('sent, but no answer came', 1), nowMs);
     }
   }
 
-  /** Stops the job; what was already sent and may not be repeated is in doubt. */
+  /** Cancels the job; started items may have been sent and are in doubt. */
   cancel(nowMs: number): void {
     this.state = 'cancelled';
     this.finishedAtMs = nowMs;
     for (let index = 0; index < this.items.length; index += 1) {
       const state = this.items.state(index);
       if (state === 'pending' || state === 'leased') this.items.setState(index, 'cancelled');
-      if (state === 'started') this.abandon(index, nowMs);
+      if (state === 'started') this.requeueOrMarkInDoubt(index, nowMs);
     }
-    this.forgetQueues();
+    this.clearQueues();
   }
 
-  /** Ends the items that nobody runs, because the job is past due. */
+  /** Fails pending items of a job past due, up to {@link MAX_STOPPED_PER_STEP}. */
   stopPastDue(nowMs: number): void {
     let ended = 0;
-    for (let index = 0; index < this.items.length && ended < MAX_STOPPED_AT_ONCE; index += 1) {
+    for (let index = 0; index < this.items.length && ended < MAX_STOPPED_PER_STEP; index += 1) {
       if (this.items.state(index) !== 'pending') continue;
       this.finish(index, 'failed', failureBody('the job was past its due time', 0), nowMs);
       ended += 1;
     }
   }
 
-  /** Text of the result of an item; undefined where it has none. */
+  /** Returns the text of the result of an item; undefined if it has none. */
   result(index: number): string | undefined {
     const unit = this.items.resultUnit(index);
     if (unit === 0) return undefined;
@@ -258,7 +269,7 @@
     return this.files.readRecord(this.resultFile, offset).toString();
   }
 
-  /** What a caller sees. */
+  /** Returns the job as reported to callers. */
   view(predictedLate: boolean): JobView {
     const { jobId, workspace, service, jobKey, dueAtMs, idempotent } = this.identity;
     return {
@@ -276,7 +287,7 @@
     };
   }
 
-  /** Plain form for a snapshot. */
+  /** Returns the serialized form for a snapshot. */
   toData(): JobRecordData {
     return {
       identity: this.identity,
@@ -294,7 +305,7 @@
     };
   }
 
-  /** Rebuilds a job from its plain form. */
+  /** Rebuilds a job from its serialized form. */
   static fromData(data: JobRecordData, files: ItemFiles): JobRecord {
     const job = new JobRecord(data.identity, files);
     job.state = data.state;
@@ -330,51 +341,55 @@
     };
   }
 
-  /** A final item takes no result, but an item in doubt is settled by an answer before its due time. */
-  private takesResult(index: number, nowMs: number): boolean {
+  /**
+   * Whether a result is accepted: final items accept none, but items in doubt do until the due
+   * time.
+   */
+  private acceptsResult(index: number, nowMs: number): boolean {
     const state = this.items.state(index);
     if (state === 'inDoubt') return nowMs < this.identity.dueAtMs;
     return state === 'pending' || state === 'leased' || state === 'started';
   }
 
-  private finishJobIfDone(nowMs: number): void {
+  private completeIfDone(nowMs: number): void {
     if (this.state !== 'sealed' || this.openCount > 0) return;
     this.state = 'completed';
     this.finishedAtMs = nowMs;
-    this.forgetQueues();
+    this.clearQueues();
   }
 
-  private forgetQueues(): void {
+  private clearQueues(): void {
     this.returned = [];
     this.attempts.clear();
     this.cachedRecord = undefined;
   }
 
-  private attemptsOf(index: number): Attempts {
-    const known = this.attempts.get(index);
-    if (known !== undefined) return known;
-    const fresh: Attempts = { attempts: 0, endpointLosses: 0, readyAtMs: 0 };
-    this.attempts.set(index, fresh);
-    return fresh;
+  private attemptsEntry(index: number): Attempts {
+    const existing = this.attempts.get(index);
+    if (existing !== undefined) return existing;
+    const created: Attempts = { attempts: 0, endpointLosses: 0, readyAtMs: 0 };
+    this.attempts.set(index, created);
+    return created;
   }
 
-  private takeReturned(maxItems: number, nowMs: number): number[] {
-    const taken: number[] = [];
-    const waiting: number[] = [];
+  private leaseReturned(maxItems: number, nowMs: number): number[] {
+    const leased: number[] = [];
+    const remaining: number[] = [];
     const scanned = this.returned.splice(0, RETURNED_SCAN_LIMIT);
     for (const index of scanned) {
       if (this.items.state(index) !== 'pending') continue;
-      const ready = (this.attempts.get(index)?.readyAtMs ?? 0) <= nowMs;
-      if (!ready || taken.length >= maxItems) {
-        waiting.push(index);
+      const isReady = (this.attempts.get(index)?.readyAtMs ?? 0) <= nowMs;
+      if (!isReady || leased.length >= maxItems) {
+        remaining.push(index);
         continue;
       }
       this.items.setState(index, 'leased');
-      taken.push(index);
+      leased.push(index);
     }
-    // Items that are not ready go to the back, so that the scan limit hides none for ever.
-    this.returned.push(...waiting);
-    return taken;
+    // Remaining items move to the end, so that the scan limit does not hide ready items
+    // permanently.
+    this.returned.push(...remaining);
+    return leased;
   }
 
   private loadRecord(index: number): { first: number; lines: string[] } {
--- a/packages/jobs/src/jobs.test.ts
+++ b/packages/jobs/src/jobs.test.ts
@@ -18,19 +18,19 @@
 const WORKSPACE = 'demo';
 const JOB_ID = jobIdOf(1, WORKSPACE, 'k');
 
-type Untimed<T> = T extends unknown ? Omit<T, 'atMs'> : never;
+type WithoutTimestamp<T> = T extends unknown ? Omit<T, 'atMs'> : never;
 
-/** A job group with a log, so that a replica can be rebuilt from it. */
+/** A job group that logs its commands, so that a replica can be rebuilt from them. */
 class Harness {
   nowMs = 1000;
   readonly files = new MemoryItemFiles();
   jobs = new Jobs(this.files);
   readonly log: JobCommand[] = [];
 
-  apply(command: Untimed<JobCommand>): JobGroupAnswer {
-    const timed = { ...command, atMs: this.nowMs } as JobCommand;
-    this.log.push(timed);
-    return this.jobs.apply(timed, this.log.length);
+  apply(command: WithoutTimestamp<JobCommand>): JobGroupAnswer {
+    const timestamped = { ...command, atMs: this.nowMs } as JobCommand;
+    this.log.push(timestamped);
+    return this.jobs.apply(timestamped, this.log.length);
   }
 
   create(
@@ -45,21 +45,21 @@
     return this.apply({ type: 'putItems', jobId: JOB_ID, workspace: WORKSPACE, fromIndex, lines });
   }
 
-  sealed(count: number, options: Parameters<Harness['create']>[0] = {}): void {
+  createSealed(count: number, options: Parameters<Harness['create']>[0] = {}): void {
     this.create(options);
     this.put(0, lines(count));
     this.apply({ type: 'sealJob', jobId: JOB_ID, workspace: WORKSPACE, itemCount: count });
   }
 
   grant(owner: string, maxItems: number): readonly ItemLease[] {
-    const answer = this.apply({
+    const reply = this.apply({
       type: 'grantItems',
       owner,
       workspace: WORKSPACE,
       service: 'chat',
       maxItems,
     });
-    return (answer as GrantAnswer).leases;
+    return (reply as GrantAnswer).leases;
   }
 
   commit(owner: string, index: number, body: string): CommitAnswer {
@@ -67,7 +67,7 @@
     return this.apply({ type: 'commitItems', owner, results, returns: [] }) as CommitAnswer;
   }
 
-  giveBack(
+  returnItem(
     owner: string,
     index: number,
     reason: 'yielded' | 'notRun' | 'endpointLost' | 'retryable',
@@ -78,7 +78,7 @@
 
   view(): JobView {
     const view = this.jobs.view(JOB_ID, WORKSPACE);
-    if (view === undefined) throw new Error('the job is gone');
+    if (view === undefined) throw new Error('job not found');
     return view;
   }
 
@@ -112,7 +112,7 @@
   count: fc.integer({ min: 1, max: 5 }),
 });
 
-interface Held {
+interface LeasedItem {
   readonly owner: string;
   readonly leaseId: string;
   readonly index: number;
@@ -120,29 +120,29 @@
 
 describe('Jobs', () => {
   test(
-    title('every item ends exactly once under any order of grants, commits, losses and restarts'),
+    title('every item ends exactly once for any sequence of grants, commits, losses and restarts'),
     (t) => {
       fc.assert(
         fc.property(fc.array(event, { maxLength: 80 }), fc.boolean(), (events, idempotent) => {
           const harness = new Harness();
-          harness.sealed(12, { idempotent });
-          const held: Held[] = [];
+          harness.createSealed(12, { idempotent });
+          const leasedItems: LeasedItem[] = [];
           const firstBody = new Map<number, string>();
-          const sends = new Map<number, number>();
-          let cancelled = false;
+          const startCounts = new Map<number, number>();
+          let isCancelled = false;
           for (const [position, { kind, owner, pick, count }] of events.entries()) {
             harness.nowMs += 700;
-            const item = held[pick % Math.max(1, held.length)];
+            const item = leasedItems[pick % Math.max(1, leasedItems.length)];
             if (kind === 'grant') {
               for (const lease of harness.grant(owner, count)) {
-                t.false(cancelled);
+                t.false(isCancelled);
                 for (const { index } of lease.items)
-                  held.push({ owner, leaseId: lease.leaseId, index });
+                  leasedItems.push({ owner, leaseId: lease.leaseId, index });
               }
             }
             if (kind === 'cancel' && pick % 7 === 0) {
               harness.apply({ type: 'cancelJob', jobId: JOB_ID, workspace: WORKSPACE });
-              cancelled = true;
+              isCancelled = true;
             }
             if (kind === 'restart') {
               const state = harness.jobs.snapshot();
@@ -152,25 +152,25 @@
             if (item === undefined) continue;
             if (kind === 'start') {
               const { leaseId, index } = item;
-              const answer = harness.apply({
+              const reply = harness.apply({
                 type: 'startItems',
                 leaseId,
                 jobId: JOB_ID,
                 indexes: [index],
               });
-              if ('started' in answer && answer.started.includes(index)) {
-                sends.set(index, (sends.get(index) ?? 0) + 1);
+              if ('started' in reply && reply.started.includes(index)) {
+                startCounts.set(index, (startCounts.get(index) ?? 0) + 1);
               }
             }
             if (kind === 'commit' || kind === 'commitTwice' || kind === 'late') {
               const body = `"${position}"`;
-              const answer = harness.commit(item.owner, item.index, body);
-              if (answer.stored === 1) firstBody.set(item.index, body);
+              const reply = harness.commit(item.owner, item.index, body);
+              if (reply.stored === 1) firstBody.set(item.index, body);
               if (kind === 'commitTwice')
                 t.is(harness.commit(item.owner, item.index, '"again"').stored, 0);
             }
-            if (kind === 'yield') harness.giveBack(item.owner, item.index, 'yielded');
-            if (kind === 'lost') harness.giveBack(item.owner, item.index, 'endpointLost');
+            if (kind === 'yield') harness.returnItem(item.owner, item.index, 'yielded');
+            if (kind === 'lost') harness.returnItem(item.owner, item.index, 'endpointLost');
             if (kind === 'expire')
               harness.apply({ type: 'expireLeases', leaseIds: [item.leaseId] });
             const { counts } = harness.view();
@@ -182,34 +182,37 @@
             const page = { jobId: JOB_ID, workspace: WORKSPACE, fromIndex: index, maxBytes: 1 };
             t.is(harness.jobs.results(page)?.lines[0]?.body, body);
           }
-          for (const count of sends.values()) t.true(count <= 1 || idempotent);
+          for (const count of startCounts.values()) t.true(count <= 1 || idempotent);
         }),
         { seed: SEED, numRuns: 400 },
       );
     },
   );
 
-  test(title('replicas that apply the same log hold the same state and the same bytes'), (t) => {
-    const harness = new Harness();
-    harness.sealed(40);
-    for (let round = 0; round < 10; round += 1) {
-      for (const lease of harness.grant('e1', 4)) {
-        for (const { index } of lease.items) harness.commit('e1', index, `"${index}"`);
+  test(
+    title('replicas that apply the same log have the same state and the same file contents'),
+    (t) => {
+      const harness = new Harness();
+      harness.createSealed(40);
+      for (let round = 0; round < 10; round += 1) {
+        for (const lease of harness.grant('e1', 4)) {
+          for (const { index } of lease.items) harness.commit('e1', index, `"${index}"`);
+        }
       }
-    }
-    const files = new MemoryItemFiles();
-    const replica = new Jobs(files);
-    for (const [position, command] of harness.log.entries()) replica.apply(command, position + 1);
-    t.deepEqual(replica.snapshot(), harness.jobs.snapshot());
-    for (const { file, sizeBytes } of replica.fileSizes()) {
-      t.deepEqual(files.readRaw(file, 0, sizeBytes), harness.files.readRaw(file, 0, sizeBytes));
-    }
-  });
+      const files = new MemoryItemFiles();
+      const replica = new Jobs(files);
+      for (const [position, command] of harness.log.entries()) replica.apply(command, position + 1);
+      t.deepEqual(replica.snapshot(), harness.jobs.snapshot());
+      for (const { file, sizeBytes } of replica.fileSizes()) {
+        t.deepEqual(files.readRaw(file, 0, sizeBytes), harness.files.readRaw(file, 0, sizeBytes));
+      }
+    },
+  );
 
   describe('upload', () => {
     test(
       title(
-        'a resent chunk with the same content is taken, also after the seal and over other borders',
+        'accepts a resent chunk with the same content, also after the seal and with other chunk boundaries',
       ),
       (t) => {
         const harness = new Harness();
@@ -222,7 +225,7 @@
       },
     );
 
-    test(title('other content, a gap and items after the seal are refused'), (t) => {
+    test(title('refuses different content, a gap and items after the seal'), (t) => {
       const harness = new Harness();
       harness.create();
       harness.put(0, lines(3));
@@ -234,7 +237,9 @@
     });
 
     test(
-      title('the same key is the same job, also after a cancel; other content is a conflict'),
+      title(
+        'the same key returns the same job, also after it is cancelled; different properties are a conflict',
+      ),
       (t) => {
         const harness = new Harness();
         t.true((harness.create() as JobAnswer).created);
@@ -246,9 +251,9 @@
       },
     );
 
-    test(title('another workspace does not see the job'), (t) => {
+    test(title('a job is hidden from other workspaces'), (t) => {
       const harness = new Harness();
-      harness.sealed(1);
+      harness.createSealed(1);
       t.is(harness.jobs.view(JOB_ID, 'other'), undefined);
       t.like(harness.apply({ type: 'cancelJob', jobId: JOB_ID, workspace: 'other' }), {
         reason: 'notFound',
@@ -258,26 +263,29 @@
   });
 
   describe('items', () => {
-    test(title('an item that kills endpoints runs alone and fails after its third loss'), (t) => {
-      const harness = new Harness();
-      harness.sealed(1);
-      for (let loss = 1; loss <= 3; loss += 1) {
-        harness.nowMs += 60_000;
-        const item = harness.grant('e1', 1)[0]?.items[0];
-        t.is(item?.attempt, loss);
-        t.is(item?.alone, loss > 1);
-        harness.giveBack('e1', 0, 'endpointLost');
-      }
-      t.like(harness.view(), { state: 'completed', counts: { failed: 1 } });
-      t.regex(harness.results()[0] ?? '', /gave up after 3 attempts/);
-    });
+    test(
+      title('an item whose endpoint was lost runs alone and fails after the third loss'),
+      (t) => {
+        const harness = new Harness();
+        harness.createSealed(1);
+        for (let loss = 1; loss <= 3; loss += 1) {
+          harness.nowMs += 60_000;
+          const item = harness.grant('e1', 1)[0]?.items[0];
+          t.is(item?.attempt, loss);
+          t.is(item?.alone, loss > 1);
+          harness.returnItem('e1', 0, 'endpointLost');
+        }
+        t.like(harness.view(), { state: 'completed', counts: { failed: 1 } });
+        t.regex(harness.results()[0] ?? '', /gave up after 3 attempts/);
+      },
+    );
 
-    test(title('an item that was not run is granted again however often, after a pause'), (t) => {
+    test(title('an item that was not run is granted again after a delay, without limit'), (t) => {
       const harness = new Harness();
-      harness.sealed(1);
+      harness.createSealed(1);
       for (let round = 0; round < 20; round += 1) {
         t.is(harness.grant('e1', 1).length, 1);
-        harness.giveBack('e1', 0, 'notRun');
+        harness.returnItem('e1', 0, 'notRun');
         t.is(harness.grant('e1', 1).length, 0);
         harness.nowMs += 1000;
       }
@@ -286,11 +294,11 @@
 
     test(
       title(
-        'a started non-idempotent item is never granted again; a late answer settles it until the due time',
+        'a started non-idempotent item is never granted again; a result is accepted until the due time',
       ),
       (t) => {
         const harness = new Harness();
-        harness.sealed(2, { idempotent: false, dueAtMs: 10_000 });
+        harness.createSealed(2, { idempotent: false, dueAtMs: 10_000 });
         const lease = harness.grant('e1', 2)[0];
         t.truthy(lease);
         const leaseId = lease?.leaseId ?? '';
@@ -305,9 +313,9 @@
       },
     );
 
-    test(title('a cancelled job grants nothing and keeps the results it had'), (t) => {
+    test(title('a cancelled job grants nothing and keeps its results'), (t) => {
       const harness = new Harness();
-      harness.sealed(4);
+      harness.createSealed(4);
       harness.grant('e1', 2);
       harness.commit('e1', 0, '"kept"');
       harness.apply({ type: 'cancelJob', jobId: JOB_ID, workspace: WORKSPACE });
@@ -317,13 +325,13 @@
       t.like(harness.view(), { state: 'cancelled', counts: { completed: 1, cancelled: 3 } });
     });
 
-    test(title('a job past due stops only where its row says so'), (t) => {
+    test(title('a job past due stops only if its row requires it'), (t) => {
       for (const [pastDue, failed] of [
         ['stop', 3],
         ['continue', 0],
       ] as const) {
         const harness = new Harness();
-        harness.sealed(3, { dueAtMs: 2000, pastDue });
+        harness.createSealed(3, { dueAtMs: 2000, pastDue });
         harness.nowMs = 3000;
         harness.apply({ type: 'housekeep', jobRetentionMs: 1e9, callRetentionMs: 1e9 });
         t.is(harness.view().counts.failed, failed);
@@ -332,7 +340,7 @@
 
     test(
       title(
-        'a small urgent job is granted before a huge one, and one past due still gets its turns',
+        'a job with an earlier due time is granted first, and a job past due still gets one in eight grants',
       ),
       (t) => {
         const harness = new Harness();
@@ -360,13 +368,13 @@
     );
   });
 
-  test(title('an open item takes no more than a few bytes of memory'), (t) => {
+  test(title('an open item uses less than 6 bytes of memory'), (t) => {
     const harness = new Harness();
     harness.create();
     for (let from = 0; from < 20_480; from += 512) harness.put(from, lines(512));
     harness.apply({ type: 'sealJob', jobId: JOB_ID, workspace: WORKSPACE, itemCount: 20_480 });
     const { itemBytes, items } = harness.jobs.memory;
-    t.true(itemBytes / items < 6, `${itemBytes / items} bytes an item`);
+    t.true(itemBytes / items < 6, `${itemBytes / items} bytes per item`);
   });
 });
 
@@ -384,35 +392,37 @@
     claimId: string,
     outcome: 'recorded' | 'inDoubt' | 'notRun',
   ): void => {
-    const answer = { status: 200, contentType: 'text/plain', body: Buffer.from(claimId) };
-    harness.apply({ type: 'finishCall', key: 'k', claimId, outcome, ...answer });
+    const response = { status: 200, contentType: 'text/plain', body: Buffer.from(claimId) };
+    harness.apply({ type: 'finishCall', key: 'k', claimId, outcome, ...response });
   };
 
   test(
-    title('a key is granted to one claimant at a time and never after a send that may have run'),
+    title(
+      'a key is granted to one claimant at a time and never after an attempt that may have run',
+    ),
     (t) => {
       const action = fc.record({
         kind: fc.constantFrom('claim', 'recorded', 'inDoubt', 'notRun', 'wait'),
-        who: fc.constantFrom('a', 'b', 'c'),
+        claimId: fc.constantFrom('a', 'b', 'c'),
       });
       fc.assert(
         fc.property(fc.array(action, { maxLength: 40 }), (actions) => {
           const harness = new Harness();
           let holder: string | undefined;
-          let ended = false;
-          for (const { kind, who } of actions) {
+          let hasEnded = false;
+          for (const { kind, claimId } of actions) {
             if (kind === 'wait') harness.nowMs += 4000;
             else if (kind === 'claim') {
-              const granted = claim(harness, who).claim === 'granted';
-              if (granted) {
-                t.false(ended);
-                t.true(holder === undefined || holder === who);
-                holder = who;
+              const isGranted = claim(harness, claimId).claim === 'granted';
+              if (isGranted) {
+                t.false(hasEnded);
+                t.true(holder === undefined || holder === claimId);
+                holder = claimId;
               }
-            } else if (who === holder) {
-              finish(harness, who, kind);
-              if (kind === 'notRun' && !ended) holder = undefined;
-              else ended = true;
+            } else if (claimId === holder) {
+              finish(harness, claimId, kind);
+              if (kind === 'notRun' && !hasEnded) holder = undefined;
+              else hasEnded = true;
             }
           }
         }),
@@ -422,18 +432,20 @@
   );
 
   test(
-    title('a resend gets the recorded answer, and another request under the key is told apart'),
+    title(
+      'a retry gets the recorded response, and a different request with the same key is a mismatch',
+    ),
     (t) => {
       const harness = new Harness();
       claim(harness, 'a');
       finish(harness, 'a', 'recorded');
-      const again = claim(harness, 'b');
-      t.like(again, { claim: 'recorded', status: 200 });
+      const retried = claim(harness, 'b');
+      t.like(retried, { claim: 'recorded', status: 200 });
       t.is(claim(harness, 'b', 'other').claim, 'mismatch');
     },
   );
 
-  test(title('a claim whose holder is gone is in doubt once its deadline has passed'), (t) => {
+  test(title('an unfinished claim is in doubt after its deadline and grace time'), (t) => {
     const harness = new Harness();
     claim(harness, 'a');
     t.is(claim(harness, 'b').claim, 'inProgress');
@@ -443,7 +455,7 @@
 });
 
 describe('LeaseClock', () => {
-  test(title('a new leader gives every open lease its full time'), (t) => {
+  test(title('an open lease seen for the first time starts with its full duration'), (t) => {
     const clock = new LeaseClock({ leaseMs: 100 });
     t.deepEqual(clock.expired(['a'], 1000), []);
     clock.renew('a', 1050);
--- a/packages/jobs/src/jobs.ts
+++ b/packages/jobs/src/jobs.ts
@@ -1,6 +1,6 @@
 /**
  * State machine of a job group: jobs, item leases and call claims. Applying the same commands
- * in the same order gives the same state and the same file contents on every replica.
+ * in the same order yields the same state and the same file contents on every replica.
  */
 import { match } from 'ts-pattern';
 import { pack, unpack } from 'msgpackr';
@@ -30,10 +30,10 @@
 import { JobRecord } from './job-record.js';
 import type { JobRecordData } from './job-record.js';
 
-/** One in this many grants of a service goes to its jobs past due, while others wait. */
-const PAST_DUE_TURN = 8;
-/** Smallest time to the due time that a rate is worked out for. */
-const MIN_SLACK_MS = 1000;
+/** One in this many grants of a service serves its jobs past due before its other jobs. */
+const PAST_DUE_GRANT_INTERVAL = 8;
+/** Minimum time to the due time that is used to calculate a needed rate. */
+const MIN_TIME_TO_DUE_MS = 1000;
 
 interface OpenLease {
   readonly owner: string;
@@ -46,16 +46,17 @@
   readonly leaseCounter: number;
   readonly jobs: readonly JobRecordData[];
   readonly leases: readonly [string, OpenLease][];
+  /** Number of grants by service. */
   readonly turns: readonly [string, number][];
   readonly calls: CallClaimsData;
 }
 
-/** What waits for a service in one group. */
+/** Demand for a service in one group. */
 export interface ServiceDemand {
   readonly workspace: string;
   readonly service: string;
   readonly pendingItems: number;
-  /** Items a second needed so that every job of the service ends before it is due. */
+  /** Items per second needed so that every job of the service ends before it is due. */
   readonly neededItemsPerSecond: number;
   readonly earliestDueAtMs: number;
 }
@@ -69,12 +70,12 @@
   readonly body: string | undefined;
 }
 
-/** The id of the job with a key: the same wherever and whenever it is asked for. */
+/** Returns the id of the job with a key; deterministic, so that retries yield the same id. */
 export function jobIdOf(group: number, workspace: string, jobKey: string): string {
   return `job-${group}-${sha256Hex(JSON.stringify([workspace, jobKey])).slice(0, 24)}`;
 }
 
-/** The group that an id of a job names; undefined where it is no job id. */
+/** Returns the group that a job id names; undefined if it is not a job id. */
 export function groupOfJobId(jobId: string): number | undefined {
   const parts = /^job-(\d+)-[0-9a-f]{24}$/.exec(jobId);
   return parts === null ? undefined : Number(parts[1]);
@@ -85,28 +86,29 @@
   private readonly files: ItemFiles;
   private jobs = new Map<string, JobRecord>();
   private leases = new Map<string, OpenLease>();
-  private turns = new Map<string, number>();
+  /** Number of grants by service. */
+  private grantCounts = new Map<string, number>();
   private clockMs = 0;
   private leaseCounter = 0;
   private readonly calls: CallClaims;
-  private completedItems = 0;
+  private storedResults = 0;
 
   constructor(files: ItemFiles) {
     this.files = files;
     this.calls = new CallClaims(files);
   }
 
-  /** Ids of the leases that are open. */
+  /** Ids of the open leases. */
   get openLeaseIds(): Iterable<string> {
     return this.leases.keys();
   }
 
-  /** Items that ended since this process started; for rates, not part of the state. */
+  /** Number of results stored since this process started; for rates, not part of the state. */
   get endedSinceStart(): number {
-    return this.completedItems;
+    return this.storedResults;
   }
 
-  /** Bytes of memory for items, and items held. */
+  /** Memory used by items, in bytes, and number of items. */
   get memory(): { itemBytes: number; items: number } {
     let itemBytes = 0;
     let items = 0;
@@ -138,25 +140,30 @@
       .exhaustive();
   }
 
-  /** A job as its workspace sees it. */
+  /**
+   * Returns a job as reported to its workspace; undefined if it is unknown or of another workspace.
+   */
   view(jobId: string, workspace: string, predictedLate = false): JobView | undefined {
-    return this.ownJob(jobId, workspace)?.view(predictedLate);
+    return this.jobOfWorkspace(jobId, workspace)?.view(predictedLate);
   }
 
-  /** The jobs of a workspace, newest first. */
+  /** Returns the jobs of a workspace, newest first. */
   list(workspace: string): JobView[] {
     const jobs = [...this.jobs.values()].filter((job) => job.identity.workspace === workspace);
     return jobs.map((job) => job.view(false)).reverse();
   }
 
-  /** Ended items from an index on, up to about `maxBytes`; `nextIndex` is where to go on. */
+  /**
+   * Returns ended items from an index on, about `maxBytes` at most; the next page starts at
+   * `nextIndex`.
+   */
   results(options: {
     readonly jobId: string;
     readonly workspace: string;
     readonly fromIndex: number;
     readonly maxBytes: number;
   }): { lines: ResultLine[]; nextIndex: number; total: number } | undefined {
-    const job = this.ownJob(options.jobId, options.workspace);
+    const job = this.jobOfWorkspace(options.jobId, options.workspace);
     if (job === undefined) return undefined;
     const lines: ResultLine[] = [];
     let bytes = 0;
@@ -172,7 +179,7 @@
     return { lines, nextIndex: index, total: job.received };
   }
 
-  /** What waits in this group, by service. */
+  /** Returns the demand in this group, by service. */
   demand(nowMs: number): ServiceDemand[] {
     const byService = new Map<string, JobRecord[]>();
     for (const job of this.jobs.values()) {
@@ -183,7 +190,9 @@
     return [...byService.values()].map((jobs) => demandOf(jobs, nowMs));
   }
 
-  /** Open jobs with the items left in each, for the prediction of late ends. */
+  /**
+   * Returns the open jobs and the number of unfinished items in each, to predict missed due times.
+   */
   openJobs(): { jobId: string; dueAtMs: number; openItems: number }[] {
     const open = [...this.jobs.values()].filter((job) => job.state === 'sealed');
     return open.map((job) => ({
@@ -193,26 +202,26 @@
     }));
   }
 
-  /** Files in use and how much of each is valid. */
+  /** Files in use and the valid size of each. */
   fileSizes(): { file: string; sizeBytes: number }[] {
     const ofJobs = [...this.jobs.values()].flatMap((job) => job.fileSizes());
     return [...ofJobs, ...this.calls.fileSizes()];
   }
 
-  /** The state as bytes. */
+  /** Returns the serialized state. */
   snapshot(): Uint8Array {
     const data: JobsData = {
       clockMs: this.clockMs,
       leaseCounter: this.leaseCounter,
       jobs: [...this.jobs.values()].map((job) => job.toData()),
       leases: [...this.leases],
-      turns: [...this.turns],
+      turns: [...this.grantCounts],
       calls: this.calls.toData(),
     };
     return pack(data);
   }
 
-  /** Takes the place of what is here. */
+  /** Replaces the state by that of a snapshot. */
   restore(state: Uint8Array): void {
     const data = unpack(state) as JobsData;
     this.clockMs = data.clockMs;
@@ -222,18 +231,18 @@
       this.jobs.set(jobData.identity.jobId, JobRecord.fromData(jobData, this.files));
     }
     this.leases = new Map(data.leases);
-    this.turns = new Map(data.turns);
+    this.grantCounts = new Map(data.turns);
     this.calls.restore(data.calls);
   }
 
-  private ownJob(jobId: string, workspace: string): JobRecord | undefined {
+  private jobOfWorkspace(jobId: string, workspace: string): JobRecord | undefined {
     const job = this.jobs.get(jobId);
     return job?.identity.workspace === workspace ? job : undefined;
   }
 
   private createJob(command: CreateJob, logIndex: number): JobAnswer | Refusal {
-    const known = this.jobs.get(command.jobId);
-    if (known !== undefined) return answerResentCreate(known, command);
+    const existing = this.jobs.get(command.jobId);
+    if (existing !== undefined) return replyToResentCreate(existing, command);
     const { jobId, workspace, service, jobKey, dueAtMs, idempotent, pastDue } = command;
     const fileName = `${jobId}-${logIndex}`;
     const createdAtMs = this.clockMs;
@@ -246,28 +255,28 @@
   }
 
   private putItems(command: PutItems): JobAnswer | Refusal {
-    const job = this.ownJob(command.jobId, command.workspace);
+    const job = this.jobOfWorkspace(command.jobId, command.workspace);
     if (job === undefined) return notFound(command.jobId);
     if (command.fromIndex > job.received) {
-      return refusal('invalid', `items arrive in order: next is ${job.received}`);
+      return refusal('invalid', `items must be sent in order; the next index is ${job.received}`);
     }
     const resentCount = Math.min(command.lines.length, job.received - command.fromIndex);
     const resent = command.lines.slice(0, resentCount);
     const difference = job.firstDifference(command.fromIndex, resent);
     if (difference !== -1) {
       const index = command.fromIndex + difference;
-      return refusal('conflict', `item ${index} was received before with other content`);
+      return refusal('conflict', `item ${index} was already received with different content`);
     }
     const added = command.lines.slice(resentCount);
     if (added.length > 0 && job.state !== 'open') {
-      return refusal('conflict', `the job is ${job.state}: it takes no more items`);
+      return refusal('conflict', `the job is ${job.state} and accepts no more items`);
     }
     job.appendItems(added);
     return { ok: true, created: false, job: job.view(false) };
   }
 
   private sealJob(command: SealJob): JobAnswer | Refusal {
-    const job = this.ownJob(command.jobId, command.workspace);
+    const job = this.jobOfWorkspace(command.jobId, command.workspace);
     if (job === undefined) return notFound(command.jobId);
     if (command.itemCount !== job.received) {
       const message = `itemCount is ${command.itemCount}, but ${job.received} items were received`;
@@ -284,7 +293,7 @@
   }
 
   private cancelJob(command: CancelJob): JobAnswer | Refusal {
-    const job = this.ownJob(command.jobId, command.workspace);
+    const job = this.jobOfWorkspace(command.jobId, command.workspace);
     if (job === undefined) return notFound(command.jobId);
     if (job.state === 'open' || job.state === 'sealed') {
       job.cancel(this.clockMs);
@@ -301,20 +310,21 @@
 
   private grantItems(command: GrantItems): GrantAnswer {
     const leases: ItemLease[] = [];
-    let wanted = command.maxItems;
+    let remaining = command.maxItems;
     for (const job of this.jobsInOrder(command)) {
-      if (wanted <= 0) break;
-      const indexes = job.take(wanted, this.clockMs);
+      if (remaining <= 0) break;
+      const indexes = job.leaseItems(remaining, this.clockMs);
       if (indexes.length === 0) continue;
-      wanted -= indexes.length;
+      remaining -= indexes.length;
       leases.push(this.openLease(command.owner, job, indexes));
     }
     return { ok: true, leases };
   }
 
   /**
-   * Jobs of a service by due time. Jobs past due come last, but get every eighth turn, so
-   * that they go on without keeping the others from their due times.
+   * Returns the jobs of a service by due time. Jobs past due are last, except in one of
+   * {@link PAST_DUE_GRANT_INTERVAL} grants, in which they are first: they make progress without
+   * delaying the others beyond their due times.
    */
   private jobsInOrder(command: GrantItems): JobRecord[] {
     const jobs = [...this.jobs.values()].filter(
@@ -325,12 +335,14 @@
         job.identity.service === command.service,
     );
     jobs.sort((a, b) => a.identity.dueAtMs - b.identity.dueAtMs);
-    const onTime = jobs.filter((job) => job.identity.dueAtMs > this.clockMs);
-    const late = jobs.filter((job) => job.identity.dueAtMs <= this.clockMs);
+    const notYetDue = jobs.filter((job) => job.identity.dueAtMs > this.clockMs);
+    const pastDue = jobs.filter((job) => job.identity.dueAtMs <= this.clockMs);
     const key = `${command.workspace}/${command.service}`;
-    const turn = (this.turns.get(key) ?? 0) + 1;
-    this.turns.set(key, turn);
-    return turn % PAST_DUE_TURN === 0 ? [...late, ...onTime] : [...onTime, ...late];
+    const grantCount = (this.grantCounts.get(key) ?? 0) + 1;
+    this.grantCounts.set(key, grantCount);
+    return grantCount % PAST_DUE_GRANT_INTERVAL === 0
+      ? [...pastDue, ...notYetDue]
+      : [...notYetDue, ...pastDue];
   }
 
   private openLease(owner: string, job: JobRecord, indexes: readonly number[]): ItemLease {
@@ -340,14 +352,14 @@
     this.leases.set(leaseId, { owner, jobId, indexes });
     const items = indexes.map((index) => ({
       index,
-      attempt: job.attemptOf(index),
-      alone: job.runsAlone(index),
+      attempt: job.attemptNumber(index),
+      alone: job.mustRunAlone(index),
       line: job.line(index),
     }));
     return { leaseId, jobId, workspace, service, idempotent, dueAtMs, items };
   }
 
-  /** Only the holder of an open lease may start items, and each at most once. */
+  /** Marks items as started; only for an open lease, and each item at most once. */
   private startItems(command: StartItems): StartAnswer {
     const lease = this.leases.get(command.leaseId);
     const job = this.jobs.get(command.jobId);
@@ -363,9 +375,9 @@
     for (const result of command.results) {
       if (this.storeResult(result)) stored += 1;
     }
-    for (const returned of command.returns) this.takeBack(returned, command.owner);
+    for (const returned of command.returns) this.returnItem(returned, command.owner);
     this.closeEmptyLeases(command.owner);
-    this.completedItems += stored;
+    this.storedResults += stored;
     return { ok: true, stored, dropped: command.results.length - stored };
   }
 
@@ -375,26 +387,29 @@
     return job.finish(result.index, result.outcome, result.body, this.clockMs);
   }
 
-  /** Only what the owner still holds can be handed back: the item may be another's by now. */
-  private takeBack(returned: ItemReturn, owner: string): void {
+  /**
+   * Takes a returned item back if the owner still holds it; it may be leased to another owner by
+   * now.
+   */
+  private returnItem(returned: ItemReturn, owner: string): void {
     const job = this.jobs.get(returned.jobId);
     if (job === undefined || !this.isHeldBy(owner, returned.jobId, returned.index)) return;
     const { index, reason, cause } = returned;
-    const started = job.itemState(index) === 'started';
+    const isStarted = job.itemState(index) === 'started';
     match(reason)
       .with('yielded', () => {
-        job.abandon(index, this.clockMs);
+        job.requeueOrMarkInDoubt(index, this.clockMs);
       })
       .with('notRun', () => {
-        job.returnNotRun(index, this.clockMs);
+        job.requeueNotRun(index, this.clockMs);
       })
       .with('endpointLost', () => {
-        if (started) job.abandon(index, this.clockMs);
-        else job.returnFailed(index, this.clockMs, true, cause);
+        if (isStarted) job.requeueOrMarkInDoubt(index, this.clockMs);
+        else job.recordFailure(index, this.clockMs, true, cause);
       })
       .with('retryable', () => {
-        if (started) job.abandon(index, this.clockMs);
-        else job.returnFailed(index, this.clockMs, false, cause);
+        if (isStarted) job.requeueOrMarkInDoubt(index, this.clockMs);
+        else job.recordFailure(index, this.clockMs, false, cause);
       })
       .exhaustive();
     this.removeFromLease(owner, returned.jobId, index);
@@ -412,7 +427,7 @@
     for (const [leaseId, lease] of this.leases) {
       if (lease.owner !== owner || lease.jobId !== jobId) continue;
       if (!lease.indexes.includes(index)) continue;
-      const indexes = lease.indexes.filter((held) => held !== index);
+      const indexes = lease.indexes.filter((other) => other !== index);
       this.leases.set(leaseId, { ...lease, indexes });
       return;
     }
@@ -422,11 +437,11 @@
     for (const [leaseId, lease] of this.leases) {
       if (lease.owner !== owner) continue;
       const job = this.jobs.get(lease.jobId);
-      const open = lease.indexes.some((index) => {
+      const hasOpenItem = lease.indexes.some((index) => {
         const state = job?.itemState(index);
         return state === 'leased' || state === 'started';
       });
-      if (!open) this.leases.delete(leaseId);
+      if (!hasOpenItem) this.leases.delete(leaseId);
     }
   }
 
@@ -436,24 +451,24 @@
       if (lease === undefined) continue;
       this.leases.delete(leaseId);
       const job = this.jobs.get(lease.jobId);
-      for (const index of lease.indexes) job?.abandon(index, this.clockMs);
+      for (const index of lease.indexes) job?.requeueOrMarkInDoubt(index, this.clockMs);
     }
     return { ok: true };
   }
 
   private housekeep(command: Housekeep): JobGroupAnswer {
     for (const [jobId, job] of this.jobs) {
-      const pastDue = job.identity.dueAtMs <= this.clockMs;
-      if (job.state === 'sealed' && pastDue && job.identity.pastDue === 'stop') {
+      const isPastDue = job.identity.dueAtMs <= this.clockMs;
+      if (job.state === 'sealed' && isPastDue && job.identity.pastDue === 'stop') {
         job.stopPastDue(this.clockMs);
       }
-      const ended = job.state === 'completed' || job.state === 'cancelled';
-      if (ended && job.finishedAtMs + command.jobRetentionMs < this.clockMs) {
+      const isFinal = job.state === 'completed' || job.state === 'cancelled';
+      if (isFinal && job.finishedAtMs + command.jobRetentionMs < this.clockMs) {
         this.jobs.delete(jobId);
         for (const { file } of job.fileSizes()) this.files.remove(file);
       }
     }
-    this.calls.forgetBefore(this.clockMs - command.callRetentionMs);
+    this.calls.removeBefore(this.clockMs - command.callRetentionMs);
     return { ok: true };
   }
 }
@@ -463,18 +478,19 @@
 }
 
 function demandOf(jobs: readonly JobRecord[], nowMs: number): ServiceDemand {
-  const byDue = [...jobs].sort((a, b) => a.identity.dueAtMs - b.identity.dueAtMs);
+  const jobsByDueTime = [...jobs].sort((a, b) => a.identity.dueAtMs - b.identity.dueAtMs);
   let pendingItems = 0;
   let neededItemsPerSecond = 0;
-  for (const job of byDue) {
+  for (const job of jobsByDueTime) {
     pendingItems += job.pendingCount;
-    const slackMs = job.identity.dueAtMs - nowMs;
-    // A job past due raises no claim: it would take the time of those that can still make it.
-    if (slackMs <= 0) continue;
-    const needed = pendingItems / (Math.max(slackMs, MIN_SLACK_MS) / 1000);
+    const timeToDueMs = job.identity.dueAtMs - nowMs;
+    // A job past due sets no needed rate: it would take capacity from jobs that can still meet
+    // their due time.
+    if (timeToDueMs <= 0) continue;
+    const needed = pendingItems / (Math.max(timeToDueMs, MIN_TIME_TO_DUE_MS) / 1000);
     neededItemsPerSecond = Math.max(neededItemsPerSecond, needed);
   }
-  const first = byDue[0];
+  const first = jobsByDueTime[0];
   return {
     workspace: first?.identity.workspace ?? '',
     service: first?.identity.service ?? '',
@@ -491,16 +507,19 @@
   return { index, customId, status: state, body: job.result(index) };
 }
 
-function answerResentCreate(job: JobRecord, command: CreateJob): JobAnswer | Refusal {
+function replyToResentCreate(job: JobRecord, command: CreateJob): JobAnswer | Refusal {
   const { workspace, service, jobKey, dueAtMs, idempotent } = job.identity;
-  const same =
+  const isSame =
     workspace === command.workspace &&
     jobKey === command.jobKey &&
     service === command.service &&
     dueAtMs === command.dueAtMs &&
     idempotent === command.idempotent;
-  if (!same) {
-    return refusal('conflict', `jobKey ${command.jobKey} names a job with other content`);
+  if (!isSame) {
+    return refusal(
+      'conflict',
+      `jobKey ${command.jobKey} belongs to a job with different properties`,
+    );
   }
   return { ok: true, created: false, job: job.view(false) };
 }
--- a/packages/jobs/src/lease-clock.ts
+++ b/packages/jobs/src/lease-clock.ts
@@ -1,6 +1,6 @@
 /**
- * The leader's view of how long item leases have been silent. It is not replicated: a new
- * leader gives every lease its full time again, measured on its own monotonic clock.
+ * Expiry of item leases as measured by the leader. It is not replicated: a new leader restarts
+ * every lease with its full duration, measured on its own monotonic clock.
  */
 
 /** Options of {@link LeaseClock}. */
@@ -8,10 +8,10 @@
   readonly leaseMs?: number;
 }
 
-/** Time that a holder keeps items without a word. */
+/** Default time after which the items of an unresponsive holder are taken back. */
 export const DEFAULT_ITEM_LEASE_MS = 6000;
 
-/** Silence of item leases by their holders. */
+/** Deadlines of item leases by lease id. */
 export class LeaseClock {
   private readonly leaseMs: number;
   private readonly deadlines = new Map<string, number>();
@@ -25,7 +25,10 @@
     this.deadlines.set(leaseId, nowMs + this.leaseMs);
   }
 
-  /** Leases of `open` whose time is up; others start their time now or are forgotten. */
+  /**
+   * Returns the expired leases of `open`. Starts the time of open leases seen for the first time
+   * and removes leases that are no longer open.
+   */
   expired(open: Iterable<string>, nowMs: number): string[] {
     const expired: string[] = [];
     const current = new Set(open);
@@ -40,7 +43,7 @@
     return expired;
   }
 
-  /** Forgets everything, when the leadership is lost. */
+  /** Removes all deadlines; called when the role of the member changes. */
   clear(): void {
     this.deadlines.clear();
   }
