--- a/packages/types/src/endpoint.ts
+++ b/packages/types/src/endpoint.ts
@@ -2,36 +2,36 @@
  * Endpoints: the back ends that announce themselves to the entries.
  */
 
-/** Load as an endpoint reports it; it lags behind the truth. */
+/** Load as reported by an endpoint; it lags behind the actual load. */
 export interface EndpointLoad {
   readonly running: number;
   readonly waiting: number;
-  /** Requests that the endpoint can run at once. */
+  /** Number of requests that the endpoint can run concurrently. */
   readonly capacity: number;
 }
 
 /** Role of a model engine. */
 export type EngineRole = 'mixed' | 'prefill' | 'decode';
 
-/** One heartbeat of an endpoint. */
+/** Heartbeat of an endpoint. */
 export interface Announcement {
   readonly endpointId: string;
-  /** Grows with every restart of the endpoint. */
+  /** Increases with every restart of the endpoint. */
   readonly incarnation: number;
-  /** Grows with every heartbeat of one incarnation. */
+  /** Increases with every heartbeat of an incarnation. */
   readonly sequence: number;
   readonly url: string;
   readonly availabilityZone: string;
   readonly kind: 'engine' | 'plain';
   /** Models that a model engine serves; empty for a plain service. */
   readonly models: readonly string[];
-  /** `workspace/service` names that a plain service answers for. */
+  /** Names, as `workspace/service`, that a plain service serves. */
   readonly services: readonly string[];
   readonly load: EndpointLoad;
-  /** Whether the endpoint refuses an order with an old fencing number. */
+  /** Whether the endpoint rejects orders with an outdated fencing number. */
   readonly checksFencing: boolean;
-  /** Set once the endpoint is on its way out. */
+  /** Whether the endpoint is draining. */
   readonly leaving: boolean;
-  /** Hashes of prompt prefixes newly cached; late and with gaps. */
+  /** Hashes of newly cached prompt prefixes; delayed and incomplete. */
   readonly cachedPrefixes?: readonly string[];
 }
--- a/packages/types/src/index.ts
+++ b/packages/types/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * Data types and constants that every package shares.
+ * Data types and constants shared by all packages.
  */
 export * from './row.js';
 export * from './endpoint.js';
@@ -7,22 +7,22 @@
 export * from './hash.js';
 export * from './rate-limit.js';
 
-/** Group of the replicated log that holds the table, leases and fencing numbers. */
+/** Consensus group that holds the table, leases and fencing numbers. */
 export const TABLE_GROUP = 0;
 
-/** Whether a refused request ran: `no` is only said when it is certain. */
+/** Whether a refused request was executed; `no` is reported only if it is certain. */
 export type Ran = 'no' | 'unknown' | 'yes';
 
-/** Header that tells a caller whether a refused request ran. */
+/** Header that reports to a caller whether a refused request was executed. */
 export const RAN_HEADER = 'shedline-ran';
-/** Header by which a caller names a service. */
+/** Header with which a caller selects a service. */
 export const SERVICE_HEADER = 'shedline-service';
 /** Header that carries a session token. */
 export const SESSION_HEADER = 'shedline-session';
-/** Header that carries the caller's remaining time in milliseconds. */
+/** Header that carries the caller's remaining time, in milliseconds. */
 export const DEADLINE_HEADER = 'shedline-deadline-ms';
-/** Header that names a request between entry and endpoint. */
+/** Header that identifies a request between entry and endpoint. */
 export const REQUEST_ID_HEADER = 'x-request-id';
 export * from './prefix.js';
 export * from './shared-prompt.js';
-export * from './choice-terms.js';
+export * from './choice-options.js';
--- a/packages/types/src/job.ts
+++ b/packages/types/src/job.ts
@@ -2,7 +2,7 @@
  * Batch jobs and their items.
  */
 
-/** Final and passing states of one item. */
+/** Transient and final states of an item; snapshots store a state as its position in this list. */
 export const ITEM_STATES = [
   'pending',
   'leased',
@@ -13,13 +13,13 @@
   'inDoubt',
 ] as const;
 
-/** State of one item. */
+/** State of an item. */
 export type ItemState = (typeof ITEM_STATES)[number];
 
-/** States of a job. `open` takes items; `sealed` has all of them; the rest are final. */
+/** State of a job: `open` accepts items, `sealed` has all its items, the others are final. */
 export type JobState = 'open' | 'sealed' | 'completed' | 'cancelled';
 
-/** Items of a job by state. */
+/** Numbers of items of a job by state; `pending` counts all items that are not final. */
 export interface JobCounts {
   readonly total: number;
   readonly completed: number;
@@ -29,7 +29,7 @@
   readonly pending: number;
 }
 
-/** What a caller sees of a job. */
+/** Job as reported to callers. */
 export interface JobView {
   readonly jobId: string;
   readonly workspace: string;
@@ -40,13 +40,13 @@
   readonly idempotent: boolean;
   readonly received: number;
   readonly counts: JobCounts;
-  /** Results that came after the first one for their item and were dropped. */
+  /** Number of results dropped because their item was already final. */
   readonly duplicatesDropped: number;
-  /** Whether the job is predicted to end after its due time. */
+  /** Whether the job is predicted to miss its due time. */
   readonly predictedLate: boolean;
 }
 
-/** Items granted to one entry for a limited time. */
+/** Items leased to an entry for a limited time. */
 export interface ItemLease {
   readonly leaseId: string;
   readonly jobId: string;
@@ -57,38 +57,40 @@
   readonly items: readonly LeasedItem[];
 }
 
-/** One item of a lease. */
+/** Item of a lease. */
 export interface LeasedItem {
   readonly index: number;
+  /** Number of the attempt, from 1. */
   readonly attempt: number;
-  /** Runs alone on its endpoint: it is suspected of killing engines. */
+  /** Whether the item must run alone on its endpoint, because it is suspected of crashing it. */
   readonly alone: boolean;
-  /** The caller's line as received. */
+  /** Line of the caller's upload, as received. */
   readonly line: string;
 }
 
-/** How an item ended, as an entry reports it. */
+/** Outcome of an item as reported by an entry. */
 export type ItemOutcome = 'completed' | 'failed' | 'inDoubt';
 
-/** One result that an entry commits. */
+/** Result of an item that an entry commits. */
 export interface ItemResult {
   readonly jobId: string;
   readonly index: number;
   readonly outcome: ItemOutcome;
-  /** JSON text of the response or of the error. */
+  /** JSON text of the response or error. */
   readonly body: string;
 }
 
 /**
- * Why an entry hands an item back without a result. `notRun` is only said when no byte of
- * the item reached an endpoint, or the endpoint said so.
+ * Reason why an entry returns an item without a result. `notRun` is reported only if no byte of
+ * the item reached an endpoint, or if the endpoint reported that it did not run.
  */
 export type ReturnReason = 'yielded' | 'notRun' | 'endpointLost' | 'retryable';
 
-/** One item that an entry hands back. */
+/** Item that an entry returns without a result. */
 export interface ItemReturn {
   readonly jobId: string;
   readonly index: number;
   readonly reason: ReturnReason;
+  /** Description of the failure, for the error of an item that is given up. */
   readonly cause: string;
 }
--- a/packages/types/src/prefix.ts
+++ b/packages/types/src/prefix.ts
@@ -1,15 +1,15 @@
 /**
- * Hashes of prompt prefixes, by which routing finds engines that hold a prefix in their cache.
+ * Hashes of prompt prefixes; routing uses them to find engines that have a prefix in their cache.
  */
 
-/** Characters in one block of a prompt. */
+/** Number of characters per block of a prompt. */
 export const PREFIX_BLOCK_CHARS = 256;
-/** Blocks that are hashed at most. */
+/** Maximum number of blocks that are hashed. */
 const MAX_BLOCKS = 64;
 const FNV_OFFSET = 0x811c9dc5;
 const FNV_PRIME = 0x01000193;
 
-/** 32-bit FNV-1a hash of a text, continued from `seed`. */
+/** Returns the 32-bit FNV-1a hash of a text, continued from `seed`. */
 export function fastHash(text: string, seed = FNV_OFFSET): number {
   let hash = seed;
   for (let index = 0; index < text.length; index += 1) {
@@ -18,7 +18,7 @@
   return hash >>> 0;
 }
 
-/** One hash for each prefix that ends at a block boundary, shortest first. */
+/** Returns a hash of each prefix that ends at a block boundary, shortest first. */
 export function prefixHashes(prompt: string): string[] {
   const hashes: string[] = [];
   let first = FNV_OFFSET;
--- a/packages/types/src/rate-limit.ts
+++ b/packages/types/src/rate-limit.ts
@@ -1,7 +1,7 @@
-/** How often requests may come, over all entries together. */
+/** Limit on the rate of requests, over all entries together. */
 export interface RateLimit {
-  /** Requests a second that may go on for ever. */
+  /** Sustained rate, in requests per second. */
   readonly ratePerS: number;
-  /** Requests beyond that which may come at once. */
+  /** Number of requests above the sustained rate that may arrive at once. */
   readonly burst: number;
 }
--- a/packages/types/src/row.ts
+++ b/packages/types/src/row.ts
@@ -1,35 +1,35 @@
 /**
- * Rows of the table of weights and limits. A row is one service of one workspace.
+ * Rows of the table of weights and limits. A row configures one service of one workspace.
  */
 
-/** What stands behind a service: model engines or plain request-response services. */
+/** Kind of endpoints of a service: model engines or plain request-response services. */
 export type ServiceKind = 'engine' | 'plain';
 
-/** What happens to the open items of a job that is past its due time. */
+/** Policy for the open items of a job past its due time. */
 export type PastDuePolicy = 'continue' | 'stop';
 
-/** Limits on what callers may send, over all entries together. */
+/** Limits on requests of callers, over all entries together. */
 export interface CallerLimits {
   readonly requestsPerSecond: number;
   readonly concurrentRequests: number;
   readonly tokensPerSecond: number;
 }
 
-/** How much of an endpoint's spare concurrency batch work may take. */
+/** Bounds of the share of an endpoint's concurrency that batch work may use. */
 export interface BatchLimits {
-  /** Share (0 to 1) of an endpoint's concurrency that batch keeps even in bursts. */
+  /** Share (0 to 1) that batch work keeps even during bursts of online requests. */
   readonly floorShare: number;
-  /** Share (0 to 1) of an endpoint's concurrency that batch never exceeds. */
+  /** Share (0 to 1) that batch work never exceeds. */
   readonly ceilingShare: number;
 }
 
-/** Service-level targets that the burn report measures against (95 in 100). */
+/** Latency targets that the burn report measures against; 95 of 100 requests must meet them. */
 export interface LatencyTargets {
   readonly firstTokenMs: number;
   readonly betweenTokensMs: number;
 }
 
-/** The operator-editable fields of a row. */
+/** Fields of a row that operators may edit. */
 export interface RowFields {
   readonly kind: ServiceKind;
   readonly weight: number;
@@ -42,14 +42,14 @@
   readonly pastDue: PastDuePolicy;
 }
 
-/** A row with its identity and the table revision that last changed it. */
+/** Row with its identity and the table revision of its last change. */
 export interface ServiceRow extends RowFields {
   readonly workspace: string;
   readonly service: string;
   readonly revision: number;
 }
 
-/** Defaults for the fields that an operator leaves out of a new row. */
+/** Defaults of the fields that an operator omits from a new row. */
 export const DEFAULT_ROW_FIELDS: RowFields = {
   kind: 'engine',
   weight: 1,
@@ -62,7 +62,7 @@
   pastDue: 'continue',
 };
 
-/** The key of a row: `workspace/service`. */
+/** Returns the key of a row: `workspace/service`. */
 export function rowKey(workspace: string, service: string): string {
   return `${workspace}/${service}`;
 }
--- a/packages/types/src/shared-prompt.ts
+++ b/packages/types/src/shared-prompt.ts
@@ -1,11 +1,13 @@
 /**
- * The part of a prompt that a request has in common with others.
+ * Part of a prompt that a request shares with other requests.
  */
 
-/** What a request shares, up to the finest part that it does not have for itself. */
+/** Shared prefix of a prompt, up to the most specific part that other requests share. */
 export interface SharedPrompt {
-  /** Names the finest shared part; requests with the same key share all of it. */
+  /**
+   * Identifies the most specific shared part; requests with the same key share the prefix up to it.
+   */
   readonly key: string;
-  /** Tokens of this part and of all before it. */
+  /** Number of tokens of this part and all parts before it. */
   readonly tokens: number;
 }
