--- a/packages/whole-jobs/src/commands.ts
+++ b/packages/whole-jobs/src/commands.ts
@@ -122,7 +122,9 @@
 export interface CommitAnswer {
   /** Number of results stored. */
   readonly stored: number;
-  /** Number of results ignored because their item or job was already over. */
+  /**
+   * Number of results ignored: the item has a result already, or its job has ended or is unknown.
+   */
   readonly dropped: number;
 }
 
--- a/packages/whole-jobs/src/item-dispenser.ts
+++ b/packages/whole-jobs/src/item-dispenser.ts
@@ -85,7 +85,7 @@
 }
 
 /** Granted items and the number still waiting. */
-export interface Dispensed {
+export interface GrantResult {
   readonly items: readonly DispensedItem[];
   /** Number of unleased items of the route after the grant; excludes delayed items. */
   readonly unheldCount: number;
@@ -113,7 +113,7 @@
   }
 
   /** Leases the first waiting items in the order of {@link compareWaitingItems}. */
-  grant(jobs: WholeJobs, request: ItemRequest, time: DispenserTime): Dispensed {
+  grant(jobs: WholeJobs, request: ItemRequest, time: DispenserTime): GrantResult {
     const waiting = this.unleasedItems(jobs, request, time);
     if (time.nowMs < this.grantsFromMs) return { items: [], unheldCount: waiting.length };
     this.runMs = request.runMs;
--- a/packages/whole-jobs/src/job-record.ts
+++ b/packages/whole-jobs/src/job-record.ts
@@ -96,7 +96,7 @@
   }
 
   /** Creates a job from its submission and stores its items. */
-  static submitted(command: SubmitJob, fileName: string, files: ItemFiles): JobRecord {
+  static fromSubmission(command: SubmitJob, fileName: string, files: ItemFiles): JobRecord {
     const { jobId, host, path, quotaKey, maxAttempts, resultsDueMs, keepItemsMs } = command;
     const { routeKey = quotaKey, workspace } = command;
     const optionalWorkspace = workspace === undefined ? {} : { workspace };
--- a/packages/whole-jobs/src/whole-jobs.ts
+++ b/packages/whole-jobs/src/whole-jobs.ts
@@ -121,7 +121,7 @@
     }
     const timestamped = { ...command, atMs: this.clockMs };
     // The log index distinguishes the files from those of a deleted job with the same id.
-    const job = JobRecord.submitted(timestamped, `job-${logIndex}`, this.files);
+    const job = JobRecord.fromSubmission(timestamped, `job-${logIndex}`, this.files);
     this.jobs.set(command.jobId, job);
     this.addWaitingTokens(quotaKey, added);
     return { outcome: 'accepted', waitingTokens: waitingTokens + added };
