--- a/packages/soak/src/endpoint-set.test.ts
+++ b/packages/soak/src/endpoint-set.test.ts
@@ -2,25 +2,25 @@
 import test from 'ava';
 import { describe, title } from '@shedline/test-utils';
 import { EndpointSet } from './endpoint-set.js';
-import type { FleetWire, SoakEndpoint, SoakEndpointOptions } from './fleet-wire.js';
-import { Heartbeats } from './heartbeats.js';
-import { Ledger } from './ledger.js';
+import type { FleetAdapter, SoakEndpoint, SoakEndpointOptions } from './fleet-adapter.js';
+import { HeartbeatSender } from './heartbeat-sender.js';
+import { PromiseChecker } from './promise-checker.js';
 
 const START_MS = 20;
 const NAME = 'endpoint-1';
 
-/** Endpoints that take a while to start; counts those that are up. */
-class FakeEndpoints implements Pick<FleetWire, 'startEndpoint' | 'heartbeat'> {
+/** Simulates endpoints that start slowly, and counts those that are up. */
+class FakeEndpoints implements Pick<FleetAdapter, 'startEndpoint' | 'heartbeat'> {
   upCount = 0;
 
   async startEndpoint(options: SoakEndpointOptions): Promise<SoakEndpoint> {
     await pause(START_MS);
     this.upCount += 1;
-    const { endpointId, startedAtMs, runName, host, port } = options;
+    const { endpointId, startedAtMs, incarnationName, host, port } = options;
     return {
       endpointId,
       startedAtMs,
-      runName,
+      incarnationName,
       address: `${host}:${port}`,
       setHanging: () => undefined,
       crash: () => {
@@ -36,29 +36,29 @@
 }
 
 function endpointSet(fake: FakeEndpoints): EndpointSet {
-  const wire = fake as unknown as FleetWire;
+  const adapter = fake as unknown as FleetAdapter;
   return new EndpointSet({
     network: '127.78.1',
-    wire,
-    ledger: new Ledger({ isCalm: () => true }),
-    heartbeats: new Heartbeats(wire, [], () => undefined),
+    adapter,
+    checker: new PromiseChecker({ isUndisturbed: () => true }),
+    heartbeats: new HeartbeatSender(adapter, [], () => undefined),
     nowMs: () => performance.now(),
     hasRelays: false,
   });
 }
 
-describe('endpoints of a run', () => {
-  test(title('one that is down when the run ends does not come back'), async (t) => {
+describe('EndpointSet', () => {
+  test(title('an endpoint that is down when the set closes does not restart'), async (t) => {
     const fake = new FakeEndpoints();
     const endpoints = endpointSet(fake);
     await endpoints.start(NAME);
-    const returns = endpoints.crash(NAME, START_MS);
+    const restart = endpoints.crash(NAME, START_MS);
     await endpoints.close();
-    await returns;
+    await restart;
     t.is(fake.upCount, 0);
   });
 
-  test(title('one that is being started when the run ends is ended too'), async (t) => {
+  test(title('an endpoint that is starting when the set closes is stopped too'), async (t) => {
     const fake = new FakeEndpoints();
     const endpoints = endpointSet(fake);
     const start = endpoints.start(NAME);
--- a/packages/soak/src/endpoint-set.ts
+++ b/packages/soak/src/endpoint-set.ts
@@ -1,33 +1,33 @@
 /**
- * The endpoints of one run: started, crashed, hanging, leaving; behind relays where their connections
- * are to go silent.
+ * The endpoints of one test run: starts, crashes, hangs and drains them. Relays stand in front of
+ * them if the run silences connections.
  */
 import { setTimeout as pause } from 'node:timers/promises';
-import type { FleetWire, SoakEndpoint } from './fleet-wire.js';
-import type { Ledger } from './ledger.js';
-import { Relay, UNHARMED } from './relay.js';
-import { HEARTBEAT_MS } from './heartbeats.js';
-import type { Heartbeats } from './heartbeats.js';
+import type { FleetAdapter, SoakEndpoint } from './fleet-adapter.js';
+import type { PromiseChecker } from './promise-checker.js';
+import { Relay, NO_IMPAIRMENT } from './relay.js';
+import { HEARTBEAT_MS } from './heartbeat-sender.js';
+import type { HeartbeatSender } from './heartbeat-sender.js';
 
-/** Time that a leaving endpoint still serves. */
-const LEAVE_SERVES_MS = 3500;
-/** Time until an endpoint is back that ended under a content. */
-const CONTENT_CRASH_MS = 1000;
+/** Time for which a leaving endpoint still serves requests. */
+const DRAIN_MS = 3500;
+/** Time until an endpoint restarts after a request content has crashed it. */
+const CRASH_RESTART_MS = 1000;
 const PORT = 8080;
-/** Endpoints live above the processes and their relays. */
+/** Last octet of the first endpoint, above those of the processes and their relays. */
 const FIRST_HOST = 200;
-/** Endpoints with a relay before them listen this far above it. */
-const PROCESS_OFFSET = 25;
+/** Distance from the host of a relay to that of the endpoint behind it. */
+const PROCESS_HOST_OFFSET = 25;
 
 /** Options of {@link EndpointSet}. */
 export interface EndpointSetOptions {
   /** First three octets of the addresses. */
   readonly network: string;
-  readonly wire: FleetWire;
-  readonly ledger: Ledger;
-  readonly heartbeats: Heartbeats;
+  readonly adapter: FleetAdapter;
+  readonly checker: PromiseChecker;
+  readonly heartbeats: HeartbeatSender;
   readonly nowMs: () => number;
-  /** Whether a relay stands before each endpoint. */
+  /** Whether each endpoint is behind a relay. */
   readonly hasRelays: boolean;
 }
 
@@ -38,21 +38,21 @@
   private readonly relays = new Map<string, Relay>();
   /** Endpoints that are being started. */
   private readonly starting = new Set<Promise<void>>();
-  private runCount = 0;
-  private closed = false;
+  private incarnationCount = 0;
+  private isClosed = false;
 
   constructor(options: EndpointSetOptions) {
     this.options = options;
   }
 
-  /** All open connections to endpoints go silent for good. */
+  /** Stops the traffic of all open connections to endpoints for good. */
   silenceOpen(): void {
     for (const relay of this.relays.values()) relay.silenceOpen();
   }
 
-  /** Ends all endpoints and their relays; those that are down stay down. */
+  /** Stops all endpoints and their relays; endpoints that are down do not restart. */
   async close(): Promise<void> {
-    this.closed = true;
+    this.isClosed = true;
     await Promise.all(this.starting);
     await Promise.all([...this.relays.values()].map((relay) => relay.close()));
     await Promise.all([...this.endpoints.values()].map((endpoint) => endpoint.crash()));
@@ -62,71 +62,72 @@
     return `${this.options.network}.${FIRST_HOST + numberOf(name)}`;
   }
 
-  /** Where an endpoint listens: behind a relay, where connections are to go silent. */
+  /** Returns the host on which an endpoint listens; starts a relay in front of it if required. */
   private async listenHost(name: string): Promise<string> {
     const { network, hasRelays } = this.options;
     const host = this.announcedHost(name);
     if (!hasRelays) return host;
-    const processHost = `${network}.${FIRST_HOST + PROCESS_OFFSET + numberOf(name)}`;
-    const relay = new Relay({ host, processHost, port: PORT }, () => UNHARMED);
+    const processHost = `${network}.${FIRST_HOST + PROCESS_HOST_OFFSET + numberOf(name)}`;
+    const relay = new Relay({ host, processHost, port: PORT }, () => NO_IMPAIRMENT);
     await relay.listen();
     this.relays.set(name, relay);
     return processHost;
   }
 
-  /** Starts an endpoint as a new run, under an id of its own or the one that it had. */
+  /** Starts a new incarnation of an endpoint, with a new id or the given one. */
   async start(name: string, endpointId?: string): Promise<void> {
-    // One that ended just before the close would come back after it, and keep the process up.
-    if (this.closed) return;
-    const start = this.startRun(name, endpointId);
+    // An endpoint that crashed just before the close would restart and keep the process running.
+    if (this.isClosed) return;
+    const start = this.startIncarnation(name, endpointId);
     this.starting.add(start);
     await start.finally(() => this.starting.delete(start));
   }
 
-  private async startRun(name: string, endpointId: string | undefined): Promise<void> {
-    this.runCount += 1;
-    const runName = `${name}-run-${this.runCount}`;
-    const endpoint = await this.options.wire.startEndpoint({
-      endpointId: endpointId ?? runName,
+  private async startIncarnation(name: string, endpointId: string | undefined): Promise<void> {
+    this.incarnationCount += 1;
+    const incarnationName = `${name}-run-${this.incarnationCount}`;
+    const endpoint = await this.options.adapter.startEndpoint({
+      endpointId: endpointId ?? incarnationName,
       startedAtMs: Date.now(),
-      runName,
+      incarnationName,
       announcedHost: this.announcedHost(name),
       host: await this.listenHost(name),
       port: PORT,
-      onRun: (requestId, isOwn) => {
-        const { ledger, nowMs } = this.options;
-        ledger.ran(requestId, runName, nowMs());
-        if (!isOwn) ledger.broken('requests run as their workspace', nowMs(), requestId);
+      onRun: (requestId, isOwnWorkspace) => {
+        const { checker, nowMs } = this.options;
+        checker.requestRan(requestId, incarnationName, nowMs());
+        if (!isOwnWorkspace)
+          checker.addViolation('requests run as their workspace', nowMs(), requestId);
       },
       onCrash: (content) => {
-        if (this.endpoints.get(name)?.runName !== runName) return;
-        this.options.ledger.crashed(content, this.options.nowMs());
-        void this.crash(name, CONTENT_CRASH_MS);
+        if (this.endpoints.get(name)?.incarnationName !== incarnationName) return;
+        this.options.checker.endpointCrashed(content, this.options.nowMs());
+        void this.crash(name, CRASH_RESTART_MS);
       },
     });
     this.endpoints.set(name, endpoint);
     this.options.heartbeats.add(endpoint);
   }
 
-  /** Breaks all connections of an endpoint; it comes back as another run under the same id. */
+  /** Resets all connections of an endpoint; it restarts as a new incarnation with the same id. */
   async crash(name: string, forMs: number): Promise<void> {
     const endpoint = this.endpoints.get(name);
     if (endpoint === undefined) return;
-    // It may be struck again while it is down.
+    // Another fault may hit it while it is down.
     this.endpoints.delete(name);
     this.options.heartbeats.remove(endpoint.endpointId);
-    await this.end(name, endpoint);
+    await this.shutDown(name, endpoint);
     await pause(forMs);
     await this.start(name, endpoint.endpointId);
   }
 
-  private async end(name: string, endpoint: SoakEndpoint): Promise<void> {
+  private async shutDown(name: string, endpoint: SoakEndpoint): Promise<void> {
     await endpoint.crash();
     await this.relays.get(name)?.close();
     this.relays.delete(name);
   }
 
-  /** An endpoint answers nothing for a while. */
+  /** Makes an endpoint unresponsive for a time. */
   async hang(name: string, forMs: number): Promise<void> {
     const endpoint = this.endpoints.get(name);
     endpoint?.setHanging(true);
@@ -134,23 +135,24 @@
     endpoint?.setHanging(false);
   }
 
-  /** An endpoint says that it leaves, serves on, and starts again, each second time under its id. */
+  /** Drains an endpoint and starts it again, every second time with the same id. */
   async leave(name: string): Promise<void> {
     const endpoint = this.endpoints.get(name);
     if (endpoint === undefined) return;
     this.options.heartbeats.remove(endpoint.endpointId);
-    const isAcknowledged = await this.options.heartbeats.beat(endpoint, true);
-    if (isAcknowledged) this.options.ledger.left(endpoint.runName, this.options.nowMs());
-    // It goes on to say so while it serves what is still under way.
-    const untilMs = this.options.nowMs() + LEAVE_SERVES_MS;
+    const isAcknowledged = await this.options.heartbeats.send(endpoint, true);
+    if (isAcknowledged)
+      this.options.checker.endpointLeft(endpoint.incarnationName, this.options.nowMs());
+    // It keeps reporting the drain while it serves requests in progress.
+    const untilMs = this.options.nowMs() + DRAIN_MS;
     while (this.options.nowMs() < untilMs) {
-      await this.options.heartbeats.beat(endpoint, true);
+      await this.options.heartbeats.send(endpoint, true);
       await pause(HEARTBEAT_MS);
     }
     if (this.endpoints.get(name) !== endpoint) return;
     this.endpoints.delete(name);
-    await this.end(name, endpoint);
-    await this.start(name, this.runCount % 2 === 0 ? endpoint.endpointId : undefined);
+    await this.shutDown(name, endpoint);
+    await this.start(name, this.incarnationCount % 2 === 0 ? endpoint.endpointId : undefined);
   }
 }
 
--- a/packages/soak/src/expected.ts
+++ b/packages/soak/src/expected.ts
@@ -1,24 +1,25 @@
 /**
- * What endpoints make of a request, so that every answer can be checked from its id alone.
+ * Responses that endpoints derive from the request id, so that each response can be checked from
+ * the id alone.
  */
 import { unitHash } from '@shedline/types';
 
 const MIN_PIECES = 3;
 const MAX_PIECES = 12;
-/** Requests whose id begins so can never be done. */
+/** Prefix of the ids of requests that always fail. */
 export const POISON_PREFIX = 'poison-';
 
-/** Number of events of the answer to a request. */
+/** Returns the number of events in the response to a request. */
 export function pieceCount(requestId: string): number {
   return MIN_PIECES + Math.floor(unitHash(requestId) * (MAX_PIECES - MIN_PIECES));
 }
 
-/** Data of one event, counted from 1. */
+/** Returns the data of one event; `number` counts from 1. */
 export function pieceOf(requestId: string, number: number): string {
   return `${requestId}:${number}`;
 }
 
-/** Data of all events, one a line. */
+/** Returns the data of all events, one per line. */
 export function wholeText(requestId: string): string {
   const pieces = Array.from({ length: pieceCount(requestId) }, (_, index) =>
     pieceOf(requestId, index + 1),
@@ -26,5 +27,5 @@
   return pieces.join('\n');
 }
 
-/** Contents that begin so end the endpoint that runs them. */
+/** Prefix of contents that crash the endpoint which runs them. */
 export const CRASHER_PREFIX = 'crasher-';
--- a/packages/soak/src/fault-plan.test.ts
+++ b/packages/soak/src/fault-plan.test.ts
@@ -1,18 +1,18 @@
 import test from 'ava';
 import fc from 'fast-check';
 import { describe, title } from '@shedline/test-utils';
-import { CATCH_UP_MS, FAULT_KINDS, isCalm, planFaults } from './fault-plan.js';
+import { CATCH_UP_MS, FAULT_KINDS, isUndisturbed, planFaults } from './fault-plan.js';
 import type { Fault, Target } from './fault-plan.js';
 
-const TARGETS = [...places('control', 3), ...places('store', 3), ...places('entry', 3)];
+const TARGETS = [...specs('control', 3), ...specs('store', 3), ...specs('entry', 3)];
 const ENDPOINTS = ['endpoint-1', 'endpoint-2', 'endpoint-3'];
-/** What a soak with cuts of the core has. */
+/** Processes and endpoints of a run with partitions of the core. */
 const SOAK_FLEET = {
-  targets: [...places('control', 4), ...places('store', 3), ...places('entry', 4)],
+  targets: [...specs('control', 4), ...specs('store', 3), ...specs('entry', 4)],
   endpoints: [...ENDPOINTS, 'endpoint-4', 'endpoint-5'],
 };
 
-function places(role: Target['role'], count: number): Target[] {
+function specs(role: Target['role'], count: number): Target[] {
   return Array.from({ length: count }, (_, index) => ({ name: `${role}-${index + 1}`, role }));
 }
 
@@ -36,7 +36,7 @@
     t.notDeepEqual(planOf(5), planOf(6));
   });
 
-  test(title('never takes more disks out at once than tolerated, nor the last entry'), (t) => {
+  test(title('never has more disks out than tolerated, nor all entries'), (t) => {
     fc.assert(
       fc.property(fc.integer({ min: 1, max: 100_000 }), (seed) => {
         const faults = planOf(seed).filter(({ kind }) => kind !== 'killAll');
@@ -56,63 +56,64 @@
     t.pass();
   });
 
-  test(title('cuts the core in two as often as asked, and changes nothing else'), (t) => {
-    const usual = {
+  test(title('adds the requested number of partitions and changes no other fault'), (t) => {
+    const options = {
       seed: 5,
       durationMs: 30_000,
       targets: TARGETS,
       endpoints: ENDPOINTS,
       toleratedLosses: 1,
     };
-    const isCut = ({ kind }: Fault): boolean => kind.startsWith('cutInTwo');
-    const faults = planFaults({ ...usual, halves: 3 });
-    const cuts = faults.filter(isCut);
-    t.is(cuts.length, 3);
+    const isPartition = ({ kind }: Fault): boolean => kind.startsWith('cutInTwo');
+    const faults = planFaults({ ...options, partitions: 3 });
+    const partitions = faults.filter(isPartition);
+    t.is(partitions.length, 3);
     t.deepEqual(
-      faults.filter((fault) => !isCut(fault)),
+      faults.filter((fault) => !isPartition(fault)),
       planOf(5),
     );
-    for (const [index, { atMs, forMs }] of cuts.entries()) {
-      t.true(atMs + forMs <= (cuts[index + 1]?.atMs ?? 30_000), 'one after the other');
+    for (const [index, { atMs, forMs }] of partitions.entries()) {
+      t.true(atMs + forMs <= (partitions[index + 1]?.atMs ?? 30_000), 'one after the other');
     }
   });
 
-  // In seed 907 a second voter of three lost its disk while the first one that had lost its own was still behind a cut: nobody held a
-  // majority of what was recorded any more, and the fleet rightly took nothing until the end.
+  // In seed 907 a second of three voters would lose its disk while the first one that lost its disk
+  // is still partitioned: no majority holds the log any more, and the fleet rightly accepts
+  // nothing.
   for (const seed of [231, 907, 1431, 1733, 1900]) {
-    test(title(`takes no second disk of the core behind a cut (seed ${seed})`), (t) => {
-      const usual = { seed, durationMs: 16_000, ...SOAK_FLEET, toleratedLosses: 1 };
+    test(title(`wipes no second disk of the core during a partition (seed ${seed})`), (t) => {
+      const options = { seed, durationMs: 16_000, ...SOAK_FLEET, toleratedLosses: 1 };
       const isWipe = ({ kind, target }: Fault): boolean =>
         kind === 'wipe' && target.startsWith('control');
-      t.is(planFaults(usual).filter(isWipe).length, 2);
-      t.is(planFaults({ ...usual, halves: 2 }).filter(isWipe).length, 1);
+      t.is(planFaults(options).filter(isWipe).length, 2);
+      t.is(planFaults({ ...options, partitions: 2 }).filter(isWipe).length, 1);
     });
   }
 
-  test(title('brings every kind of fault in some seed'), (t) => {
+  test(title('draws every kind of fault in some seed'), (t) => {
     const seeds = Array.from({ length: 200 }, (_, seed) => seed + 1);
     const kinds = new Set(seeds.flatMap((seed) => planOf(seed).map(({ kind }) => kind)));
     t.deepEqual([...kinds].sort(), [...FAULT_KINDS].sort());
   });
 });
 
-describe('isCalm', () => {
+describe('isUndisturbed', () => {
   const kill: Fault = { kind: 'kill', target: 'entry-1', atMs: 1000, forMs: 500 };
 
   test(title('is false from a fault until the process has caught up'), (t) => {
-    t.true(isCalm([kill], { fromMs: 0, untilMs: 1000 }));
-    t.false(isCalm([kill], { fromMs: 0, untilMs: 1001 }));
-    t.false(isCalm([kill], { fromMs: 1500 + CATCH_UP_MS - 1, untilMs: 9000 }));
-    t.true(isCalm([kill], { fromMs: 1500 + CATCH_UP_MS, untilMs: 9000 }));
+    t.true(isUndisturbed([kill], { fromMs: 0, untilMs: 1000 }));
+    t.false(isUndisturbed([kill], { fromMs: 0, untilMs: 1001 }));
+    t.false(isUndisturbed([kill], { fromMs: 1500 + CATCH_UP_MS - 1, untilMs: 9000 }));
+    t.true(isUndisturbed([kill], { fromMs: 1500 + CATCH_UP_MS, untilMs: 9000 }));
   });
 
-  test(title('asks only about what matters, and about what strikes all'), (t) => {
+  test(title('ignores faults of irrelevant targets, but not those that hit all processes'), (t) => {
     const span = { fromMs: 0, untilMs: 9000 };
-    t.true(isCalm([kill], span, (target) => target === 'entry-2'));
-    t.false(isCalm([{ ...kill, kind: 'killAll', target: '' }], span, () => false));
+    t.true(isUndisturbed([kill], span, (target) => target === 'entry-2'));
+    t.false(isUndisturbed([{ ...kill, kind: 'killAll', target: '' }], span, () => false));
   });
 
-  test(title('planned stops are calm'), (t) => {
-    t.true(isCalm([{ ...kill, kind: 'stop' }], { fromMs: 0, untilMs: 9000 }));
+  test(title('ignores planned stops'), (t) => {
+    t.true(isUndisturbed([{ ...kill, kind: 'stop' }], { fromMs: 0, untilMs: 9000 }));
   });
 });
--- a/packages/soak/src/fault-plan.ts
+++ b/packages/soak/src/fault-plan.ts
@@ -1,63 +1,63 @@
 /**
- * Plans the faults of one run from its seed: several kinds, overlapping, but never more lost
- * disks at once than the fleet is set up to bear.
+ * Plans the faults of one run from its seed. Faults of several kinds overlap, but never take out
+ * more disks at once than the fleet tolerates.
  */
 import { pick, seededRandom } from '@shedline/test-utils';
 import type { RandomSource } from '@shedline/test-utils';
 
-/** Roles of the processes. */
+/** Role of a process. */
 export type Role = 'control' | 'store' | 'entry';
 
-/** A process that faults may strike. */
+/** A process that faults may hit. */
 export interface Target {
   readonly name: string;
   readonly role: Role;
 }
 
-/** What is done from outside a process. */
+/** Kinds of faults, which are injected from outside the processes. */
 export type FaultKind =
-  /** SIGKILL, started again later. */
+  /** SIGKILL, then a later restart. */
   | 'kill'
-  /** SIGTERM, started again once it has ended. */
+  /** SIGTERM, then a restart after the exit. */
   | 'stop'
   /** SIGSTOP and SIGCONT. */
   | 'pause'
   /** SIGHUP. */
   | 'reload'
-  /** No byte passes to or from the peers; connections stay open. */
+  /** Traffic to and from the peers is blocked; connections stay open. */
   | 'silence'
-  /** Bytes to the process stop, those from it pass. */
+  /** Traffic to the process is blocked, but not the traffic from it. */
   | 'silenceIn'
-  /** Bytes pass late. */
+  /** Traffic is delayed. */
   | 'delay'
   /** All connections to the process are reset. */
   | 'reset'
-  /** SIGKILL; it comes back with an empty disk. */
+  /** SIGKILL, then a restart with an empty disk. */
   | 'wipe'
-  /** SIGKILL; rubbish is appended to its newest log file, as by a write that was torn. */
+  /** SIGKILL, and garbage is appended to the newest log file, as by a torn write. */
   | 'tornTail'
   /** SIGKILL of every process. */
   | 'killAll'
-  /** An endpoint breaks all connections and comes back as another run. */
+  /** An endpoint resets all connections and restarts as a new incarnation. */
   | 'endpointCrash'
-  /** An endpoint answers nothing. */
+  /** An endpoint is unresponsive. */
   | 'endpointHang'
-  /** An endpoint says that it leaves, serves on for a while, and is replaced. */
+  /** An endpoint drains and is replaced. */
   | 'endpointLeave'
-  /** All open connections go silent for good, without a word to either end; new ones work. */
+  /** All open connections carry no more data and stay open; new connections work. */
   | 'silenceOpen'
-  /** No byte passes between two halves of the control processes, and of the entries beside them. */
+  /** A network partition splits the control processes and the entries into two sides. */
   | 'cutInTwo'
-  /** The same; the processes of the larger half are killed and start again as it ends. */
+  /** The same; as it heals, the processes of the larger side are killed and restarted. */
   | 'cutInTwoAndKill';
 
 /** One fault. */
 export interface Fault {
   readonly kind: FaultKind;
-  /** Process or endpoint; empty where all are struck. */
+  /** Name of the process or endpoint; empty for faults that hit all. */
   readonly target: string;
   readonly atMs: number;
-  /** Until it is lifted. */
+  /** Duration of the fault. */
   readonly forMs: number;
 }
 
@@ -67,21 +67,21 @@
   readonly durationMs: number;
   readonly targets: readonly Target[];
   readonly endpoints: readonly string[];
-  /** Processes with a disk that may be out at once. */
+  /** Maximum number of processes with a disk that may be out at once. */
   readonly toleratedLosses: number;
-  /** Kinds to draw from; all where it is left out. */
+  /** Kinds to draw from; all if omitted. */
   readonly kinds?: readonly FaultKind[];
   /**
-   * Times that all open connections go silent, beside what is drawn otherwise: the plan of a
-   * seed without them stays what it was.
+   * Number of times that all open connections are silenced. Drawn separately, so that the other
+   * faults of a seed do not change.
    */
   readonly silences?: number;
-  /** Times that the core is cut in two, drawn apart from all else like the silences. */
-  readonly halves?: number;
+  /** Number of partitions of the core, drawn separately like the silences. */
+  readonly partitions?: number;
 }
 
-/** Faults that cut nothing if the programs keep their word. */
-const PLANNED: ReadonlySet<FaultKind> = new Set(['stop', 'reload', 'endpointLeave']);
+/** Kinds of faults that must not break any request. */
+const PLANNED_KINDS: ReadonlySet<FaultKind> = new Set(['stop', 'reload', 'endpointLeave']);
 const COMMON_KINDS: readonly FaultKind[] = [
   'kill',
   'stop',
@@ -94,11 +94,11 @@
 const ENTRY_KINDS: readonly FaultKind[] = [...COMMON_KINDS, 'reload'];
 const DISK_KINDS: readonly FaultKind[] = [...COMMON_KINDS, 'wipe', 'tornTail', 'reload'];
 const ENDPOINT_KINDS: readonly FaultKind[] = ['endpointCrash', 'endpointHang', 'endpointLeave'];
-/** All kinds, for whoever chooses some. */
+/** All kinds that a caller may select. */
 export const FAULT_KINDS: readonly FaultKind[] = [...DISK_KINDS, 'killAll', ...ENDPOINT_KINDS];
-/** Time after a fault in which a process still catches up, and counts as out. */
+/** Time after a fault in which a process catches up and still counts as out. */
 export const CATCH_UP_MS = 5000;
-/** Longest pause between two faults; many overlap. */
+/** Maximum time between the starts of two faults; many overlap. */
 const MAX_GAP_MS = 700;
 const FIRST_FAULT_MS = 1000;
 const MIN_FAULT_MS = 300;
@@ -106,53 +106,54 @@
 const KILL_ALL_SHARE = 0.04;
 const ENDPOINT_SHARE = 0.25;
 const SERIES_SHARE = 0.2;
-/** Pause between the steps of a series on the same target. */
+/** Pause between the two faults of a series on the same target. */
 const SERIES_GAP_MS = 400;
-/** Keeps the draws of silent connections apart from all others. */
+/** Separates the random numbers of silenced connections from all others. */
 const SILENCE_SEED_OFFSET = 1_000_003;
-/** The same for cuts of the core in two. */
-const HALVES_SEED_OFFSET = 2_000_003;
-/** Shortest cut of the core in two: longer than processes that are silent count as up, by any list. */
-const MIN_HALVES_MS = 4500;
-const MAX_HALVES_MS = 6500;
+/** The same for partitions of the core. */
+const PARTITION_SEED_OFFSET = 2_000_003;
+/** Longer than any member list keeps a process from which nothing was received. */
+const MIN_PARTITION_MS = 4500;
+const MAX_PARTITION_MS = 6500;
 
-/** Whether a fault is work that operators plan. */
+/** Whether a fault is a planned operation. */
 export function isPlanned(fault: Fault): boolean {
-  return PLANNED.has(fault.kind);
+  return PLANNED_KINDS.has(fault.kind);
 }
 
-/** Tells processes and endpoints that matter for a question by their names. */
-export type Concerns = (target: string) => boolean;
+/** Selects processes and endpoints by name. */
+export type TargetFilter = (target: string) => boolean;
 
-/** Whether no unplanned fault that matters was in force, or had just been, in a span of time. */
-export function isCalm(
+/** Whether no relevant unplanned fault was in effect during or shortly before a span of time. */
+export function isUndisturbed(
   faults: readonly Fault[],
   span: { readonly fromMs: number; readonly untilMs: number },
-  concerns: Concerns = () => true,
+  isRelevant: TargetFilter = () => true,
 ): boolean {
   return faults.every(
     (fault) =>
       isPlanned(fault) ||
-      (fault.target !== '' && !concerns(fault.target)) ||
+      (fault.target !== '' && !isRelevant(fault.target)) ||
       fault.atMs >= span.untilMs ||
       fault.atMs + fault.forMs + CATCH_UP_MS <= span.fromMs,
   );
 }
 
-/** The faults of a seed, in order of time. */
+/** Plans the faults of a seed, ordered by time. */
 export function planFaults(options: FaultPlanOptions): Fault[] {
-  const halves = planHalves(options);
-  const drawn = bearableWipes(new FaultPlanner(options).plan(), halves, options);
-  return [...drawn, ...planSilences(options), ...halves].sort((a, b) => a.atMs - b.atMs);
+  const partitions = planPartitions(options);
+  const drawn = withoutExcessWipes(new FaultPlanner(options).plan(), partitions, options);
+  return [...drawn, ...planSilences(options), ...partitions].sort((a, b) => a.atMs - b.atMs);
 }
 
 /**
- * Leaves out the wipes of control processes under which more disks would be lost than the fleet is set up to bear: one that comes
- * back empty behind a cut can copy nothing and be replaced by nobody until the cut has ended.
+ * Removes wipes of control processes after which more disks would be lost than the fleet tolerates.
+ * A control process that restarts with an empty disk during a partition can neither copy data nor
+ * be replaced until the partition heals.
  */
-function bearableWipes(
+function withoutExcessWipes(
   drawn: readonly Fault[],
-  cuts: readonly Fault[],
+  partitions: readonly Fault[],
   { targets, toleratedLosses }: FaultPlanOptions,
 ): Fault[] {
   const controls = new Set(
@@ -161,7 +162,7 @@
   const wipes: Fault[] = [];
   return drawn.filter((fault) => {
     if (fault.kind !== 'wipe' || !controls.has(fault.target)) return true;
-    const isOut = (wipe: Fault): boolean => outUntilMs(wipe, cuts) > fault.atMs;
+    const isOut = (wipe: Fault): boolean => recoveredAtMs(wipe, partitions) > fault.atMs;
     const others = wipes.filter((wipe) => wipe.target !== fault.target && isOut(wipe));
     if (others.length >= toleratedLosses) return false;
     wipes.push(fault);
@@ -169,28 +170,28 @@
   });
 }
 
-/** When a control process that was wiped has what the others have again. */
-function outUntilMs(wipe: Fault, cuts: readonly Fault[]): number {
-  let untilMs = wipe.atMs + wipe.forMs + CATCH_UP_MS;
-  for (const { atMs, forMs } of cuts) {
-    if (atMs < untilMs) untilMs = Math.max(untilMs, atMs + forMs + CATCH_UP_MS);
+/** Returns when a wiped control process has caught up with the others. */
+function recoveredAtMs(wipe: Fault, partitions: readonly Fault[]): number {
+  let recoveryMs = wipe.atMs + wipe.forMs + CATCH_UP_MS;
+  for (const { atMs, forMs } of partitions) {
+    if (atMs < recoveryMs) recoveryMs = Math.max(recoveryMs, atMs + forMs + CATCH_UP_MS);
   }
-  return untilMs;
+  return recoveryMs;
 }
 
-/** One in each equal part of the time, and over before the next. */
-function planHalves({ seed, durationMs, halves = 0 }: FaultPlanOptions): Fault[] {
-  const random = seededRandom(seed + HALVES_SEED_OFFSET);
-  const partMs = (durationMs - FIRST_FAULT_MS) / Math.max(1, halves);
-  return Array.from({ length: halves }, (_, index): Fault => {
-    const forMs = Math.round(MIN_HALVES_MS + random() * (MAX_HALVES_MS - MIN_HALVES_MS));
+/** Plans one partition in each equal part of the time; each heals before the next. */
+function planPartitions({ seed, durationMs, partitions = 0 }: FaultPlanOptions): Fault[] {
+  const random = seededRandom(seed + PARTITION_SEED_OFFSET);
+  const partMs = (durationMs - FIRST_FAULT_MS) / Math.max(1, partitions);
+  return Array.from({ length: partitions }, (_, index): Fault => {
+    const forMs = Math.round(MIN_PARTITION_MS + random() * (MAX_PARTITION_MS - MIN_PARTITION_MS));
     const spareMs = Math.max(0, partMs - forMs);
     const atMs = Math.round(FIRST_FAULT_MS + index * partMs + random() * spareMs);
     return { kind: pick(random, ['cutInTwo', 'cutInTwoAndKill']), target: '', atMs, forMs };
   });
 }
 
-/** Drawn from a source of their own, one in each equal part of the time. */
+/** Plans one silence in each equal part of the time. */
 function planSilences({ seed, durationMs, silences = 0 }: FaultPlanOptions): Fault[] {
   const random = seededRandom(seed + SILENCE_SEED_OFFSET);
   const partMs = (durationMs - FIRST_FAULT_MS) / Math.max(1, silences);
@@ -213,23 +214,23 @@
   plan(): Fault[] {
     let atMs = FIRST_FAULT_MS;
     while (atMs < this.options.durationMs) {
-      for (const fault of this.draw(Math.round(atMs))) {
-        if (this.isWanted(fault) && this.isBearable(fault)) this.faults.push(fault);
+      for (const fault of this.drawSeries(Math.round(atMs))) {
+        if (this.isSelectedKind(fault) && this.isTolerable(fault)) this.faults.push(fault);
       }
       atMs += this.random() * MAX_GAP_MS;
     }
     return this.faults.sort((a, b) => a.atMs - b.atMs);
   }
 
-  /** One fault, or a series of the same on one target. */
-  private draw(atMs: number): Fault[] {
-    const fault = this.drawOne(atMs);
+  /** Draws one fault, or a series of two equal faults on one target. */
+  private drawSeries(atMs: number): Fault[] {
+    const fault = this.drawFault(atMs);
     if (this.random() >= SERIES_SHARE || fault.kind === 'killAll') return [fault];
-    const again = fault.atMs + fault.forMs + SERIES_GAP_MS;
-    return [fault, { ...fault, atMs: Math.round(again) }];
+    const secondAtMs = fault.atMs + fault.forMs + SERIES_GAP_MS;
+    return [fault, { ...fault, atMs: Math.round(secondAtMs) }];
   }
 
-  private drawOne(atMs: number): Fault {
+  private drawFault(atMs: number): Fault {
     const forMs = Math.round(MIN_FAULT_MS + this.random() * (MAX_FAULT_MS - MIN_FAULT_MS));
     const chance = this.random();
     if (chance < KILL_ALL_SHARE) return { kind: 'killAll', target: '', atMs, forMs: MIN_FAULT_MS };
@@ -242,11 +243,11 @@
     return { kind: pick(this.random, kinds), target: name, atMs, forMs };
   }
 
-  private isWanted({ kind }: Fault): boolean {
+  private isSelectedKind({ kind }: Fault): boolean {
     return this.options.kinds?.includes(kind) ?? true;
   }
 
-  private isBearable(fault: Fault): boolean {
+  private isTolerable(fault: Fault): boolean {
     const overlapping = this.faults.filter((other) => overlaps(fault, other));
     if (overlapping.some((other) => other.target === fault.target && fault.target !== '')) {
       return false;
@@ -256,7 +257,7 @@
     const lost = overlapping.filter((other) => this.hasDisk(other.target));
     const isLoss = this.hasDisk(fault.target) && fault.kind !== 'reload';
     if (isLoss && lost.length >= this.options.toleratedLosses) return false;
-    return !this.isLastOfItsKind(fault, overlapping);
+    return !this.hitsLastUnaffected(fault, overlapping);
   }
 
   private hasDisk(name: string): boolean {
@@ -264,19 +265,19 @@
     return target !== undefined && target.role !== 'entry';
   }
 
-  /** One entry and one endpoint stay untouched at any time. */
-  private isLastOfItsKind(fault: Fault, overlapping: readonly Fault[]): boolean {
+  /** Whether a fault would hit the last unaffected entry or endpoint. */
+  private hitsLastUnaffected(fault: Fault, overlapping: readonly Fault[]): boolean {
     const entries = this.options.targets.filter(({ role }) => role === 'entry');
-    const peers = [entries.map(({ name }) => name), this.options.endpoints];
-    return peers.some((names) => {
+    const groups = [entries.map(({ name }) => name), this.options.endpoints];
+    return groups.some((names) => {
       if (!names.includes(fault.target)) return false;
-      const struck = new Set(overlapping.map(({ target }) => target));
-      return names.filter((name) => !struck.has(name)).length <= 1;
+      const affected = new Set(overlapping.map(({ target }) => target));
+      return names.filter((name) => !affected.has(name)).length <= 1;
     });
   }
 }
 
-function overlaps(one: Fault, other: Fault): boolean {
+function overlaps(first: Fault, second: Fault): boolean {
   const endOf = ({ atMs, forMs }: Fault): number => atMs + forMs + CATCH_UP_MS;
-  return one.atMs < endOf(other) && other.atMs < endOf(one);
+  return first.atMs < endOf(second) && second.atMs < endOf(first);
 }
--- a/packages/soak/src/index.ts
+++ b/packages/soak/src/index.ts
@@ -1,10 +1,10 @@
 /**
- * Randomized fault soak of the real programs.
+ * Randomized fault-injection test of the real programs.
  */
 export * from './expected.js';
 export * from './fault-plan.js';
-export * from './fleet-wire.js';
-export * from './ledger.js';
+export * from './fleet-adapter.js';
+export * from './promise-checker.js';
 export * from './process-set.js';
 export * from './report.js';
 export * from './soak-network.js';
--- a/packages/soak/src/process-set.ts
+++ b/packages/soak/src/process-set.ts
@@ -1,5 +1,5 @@
 /**
- * The programs of one run as separate processes: settings, start, signals, disks and logs.
+ * Runs the programs of one test run as separate processes: settings, signals, disks and logs.
  */
 import { spawn } from 'node:child_process';
 import type { ChildProcess } from 'node:child_process';
@@ -9,11 +9,11 @@
 import { setTimeout as pause } from 'node:timers/promises';
 import type { Role, Target } from './fault-plan.js';
 
-/** One process of a run. */
-export interface Place extends Target {
-  /** IP number that the others know. */
+/** Name, role and addresses of a process. */
+export interface ProcessSpec extends Target {
+  /** IP address that other processes use; the relay listens on it. */
   readonly host: string;
-  /** IP number of its own, behind a relay. */
+  /** IP address of the process itself, behind its relay. */
   readonly processHost: string;
 }
 
@@ -21,59 +21,58 @@
 export interface ProcessSetOptions {
   /** Folder for data, settings and logs. */
   readonly folder: string;
-  readonly places: readonly Place[];
-  /** File of the program of a role. */
+  readonly specs: readonly ProcessSpec[];
+  /** Returns the path of the program of a role. */
   readonly programOf: (role: Role) => string;
   /** Environment variable that names the settings file. */
   readonly settingsVariable: string;
-  /** Settings of a process. */
-  readonly settingsOf: (place: Place, options: SettingsOptions) => object;
+  /** Returns the settings of a process. */
+  readonly settingsOf: (spec: ProcessSpec, options: SettingsOptions) => object;
 }
 
-/** What of the settings differs from start to start. */
+/** Settings that differ between starts. */
 export interface SettingsOptions {
   readonly isFounding: boolean;
-  /** Left out for a process without a disk. */
+  /** Omitted for a process without a disk. */
   readonly dataDir?: string;
 }
 
 const HEAP_MB = 96;
-/** Rubbish of a torn write. */
+/** Garbage that simulates a torn write. */
 const TORN_BYTES = Buffer.alloc(37, 0xa5);
 const POLL_MS = 20;
-/** Log line of a process that begins to lead the lowest group of its role. */
+/** Matches the log line of a process that becomes leader of the lowest group of its role. */
 const LEADS_FIRST_GROUP = /"group":[01],.*"leads group"/;
 
-/** The processes. */
+/** The processes of one run. */
 export class ProcessSet {
   private readonly options: ProcessSetOptions;
   private readonly running = new Map<string, ChildProcess>();
   private readonly starting = new Set<string>();
-  /** Processes that ended without being told to. */
-  readonly ownEnds: string[] = [];
-  private readonly told = new Set<ChildProcess>();
-  /** Who last began to lead the first group of its role. */
+  /** Processes that exited without a request, with their exit code or signal. */
+  readonly unexpectedExits: string[] = [];
+  private readonly requestedExits = new Set<ChildProcess>();
+  /** Name of the last leader of the first group, by role. */
   private readonly lastLeaders = new Map<Role, string>();
-  /** Processes that have logged something. */
-  private readonly speaking = new WeakSet<ChildProcess>();
+  /** Processes that have written to their log. */
+  private readonly haveLogged = new WeakSet<ChildProcess>();
 
   constructor(options: ProcessSetOptions) {
     this.options = options;
   }
 
-  /** The process that last began to lead the first group of a role. */
+  /** Returns the name of the last leader of the first group of a role. */
   leaderOf(role: Role): string | undefined {
     return this.lastLeaders.get(role);
   }
 
-  /** Names of the processes that run. */
   isRunning(name: string): boolean {
     return this.running.has(name);
   }
 
-  /** Starts a process that does not run; it is not waited for. */
+  /** Starts a process that is not running, without waiting until it is ready. */
   async start(name: string, options: { readonly isFounding?: boolean } = {}): Promise<void> {
-    // Faults that overlap may both want to bring it back.
+    // Overlapping faults may both restart it.
     if (this.running.has(name) || this.starting.has(name)) return;
     this.starting.add(name);
     try {
@@ -83,34 +82,34 @@
     }
   }
 
-  /** Sends a signal that the process lives on with. */
+  /** Sends a signal that does not terminate the process. */
   signal(name: string, signal: 'SIGSTOP' | 'SIGCONT' | 'SIGHUP'): void {
     const child = this.running.get(name);
     if (child === undefined) return;
-    // The runtime itself dies of a reload signal before any program can listen for it.
-    if (signal === 'SIGHUP' && !this.speaking.has(child)) return;
+    // A reload signal terminates the runtime until the program has added its listener.
+    if (signal === 'SIGHUP' && !this.haveLogged.has(child)) return;
     child.kill(signal);
   }
 
-  /** Ends a process and waits until it is gone. */
-  async end(name: string, signal: 'SIGKILL' | 'SIGTERM'): Promise<void> {
+  /** Terminates a process and waits for its exit. */
+  async terminate(name: string, signal: 'SIGKILL' | 'SIGTERM'): Promise<void> {
     const child = this.running.get(name);
     if (child === undefined) return;
-    this.told.add(child);
-    // A stopped process ends only once it goes on.
+    this.requestedExits.add(child);
+    // A paused process handles the signal only after it is resumed.
     child.kill(signal);
     child.kill('SIGCONT');
     while (child.exitCode === null && child.signalCode === null) await pause(POLL_MS);
     if (this.running.get(name) === child) this.running.delete(name);
   }
 
-  /** Empties the disk of a process that does not run. */
+  /** Deletes the data of a process that is not running. */
   async wipe(name: string): Promise<void> {
     await rm(this.dataDirOf(name), { recursive: true, force: true });
   }
 
-  /** Appends rubbish to the newest log file of a process that does not run. */
-  async tear(name: string): Promise<void> {
+  /** Appends garbage to the newest log file of a process that is not running. */
+  async appendTornWrite(name: string): Promise<void> {
     const folder = this.dataDirOf(name);
     const logs = (await readdir(folder)).filter((file) => file.startsWith('wal'));
     const newest = logs.sort().at(-1);
@@ -119,21 +118,21 @@
     if ((await stat(file)).isFile()) await appendFile(file, TORN_BYTES);
   }
 
-  /** Kills everything. */
+  /** Kills all processes. */
   async close(): Promise<void> {
-    await Promise.all([...this.running.keys()].map((name) => this.end(name, 'SIGKILL')));
+    await Promise.all([...this.running.keys()].map((name) => this.terminate(name, 'SIGKILL')));
   }
 
   private async spawn(name: string, isFounding: boolean): Promise<void> {
     const { folder, programOf, settingsVariable, settingsOf } = this.options;
-    const place = this.placeOf(name);
+    const spec = this.specOf(name);
     const dataDir = this.dataDirOf(name);
     await mkdir(dataDir, { recursive: true });
     const file = join(folder, `${name}.json`);
-    await writeFile(file, JSON.stringify(settingsOf(place, { isFounding, dataDir })));
+    await writeFile(file, JSON.stringify(settingsOf(spec, { isFounding, dataDir })));
     const child = spawn(
       process.execPath,
-      [`--max-old-space-size=${HEAP_MB}`, programOf(place.role)],
+      [`--max-old-space-size=${HEAP_MB}`, programOf(spec.role)],
       {
         env: { PATH: process.env.PATH ?? '', [settingsVariable]: file },
         stdio: ['ignore', 'pipe', 'pipe'],
@@ -143,12 +142,13 @@
     child.stdout.pipe(log, { end: false });
     child.stderr.pipe(log, { end: false });
     child.stdout.on('data', (bytes: Buffer) => {
-      this.speaking.add(child);
-      if (LEADS_FIRST_GROUP.test(bytes.toString())) this.lastLeaders.set(place.role, name);
+      this.haveLogged.add(child);
+      if (LEADS_FIRST_GROUP.test(bytes.toString())) this.lastLeaders.set(spec.role, name);
     });
     this.running.set(name, child);
     child.once('exit', (code, signal) => {
-      if (!this.told.has(child)) this.ownEnds.push(`${name} (${code ?? signal ?? 'unknown'})`);
+      if (!this.requestedExits.has(child))
+        this.unexpectedExits.push(`${name} (${code ?? signal ?? 'unknown'})`);
       if (this.running.get(name) === child) this.running.delete(name);
     });
   }
@@ -157,9 +157,9 @@
     return join(this.options.folder, `data-${name}`);
   }
 
-  private placeOf(name: string): Place {
-    const place = this.options.places.find((candidate) => candidate.name === name);
-    if (place === undefined) throw new Error(`there is no process ${name}`);
-    return place;
+  private specOf(name: string): ProcessSpec {
+    const spec = this.options.specs.find((candidate) => candidate.name === name);
+    if (spec === undefined) throw new Error(`no process ${name}`);
+    return spec;
   }
 }
--- /dev/null
+++ b/packages/soak/src/promise-checker.test.ts
@@ -0,0 +1,174 @@
+import test from 'ava';
+import { describe, title } from '@shedline/test-utils';
+import { wholeText } from './expected.js';
+import { PromiseChecker } from './promise-checker.js';
+
+function createChecker(isUndisturbed = true): PromiseChecker {
+  return new PromiseChecker({ isUndisturbed: () => isUndisturbed });
+}
+
+function promises(checker: PromiseChecker): string[] {
+  return checker.finish(99_999).map(({ promise }) => promise);
+}
+
+describe('PromiseChecker', () => {
+  test(title('reports nothing if all promises are kept'), (t) => {
+    const checker = createChecker();
+    checker.requestSent('q', { entry: 'entry-1', kind: 'once', atMs: 0 });
+    checker.requestRan('q', 'e', 1);
+    checker.requestEnded('q', { kind: 'complete', text: wholeText('q') }, 2);
+    checker.jobSubmitted('j', ['i']);
+    checker.jobAccepted('j', ['i']);
+    checker.requestRan('i', 'e', 3);
+    checker.resultListed('j', 0, { itemId: 'i', state: 'complete', text: wholeText('i') }, 4);
+    checker.resultListed('j', 0, { itemId: 'i', state: 'complete', text: wholeText('i') }, 5);
+    checker.configurationAcknowledged(3, 0);
+    checker.configurationRead(3, 'three', 10);
+    t.deepEqual(promises(checker), []);
+  });
+
+  test(title('reports a request that ran twice, or ran although it was refused'), (t) => {
+    const checker = createChecker();
+    checker.requestSent('q', { entry: 'entry-1', kind: 'once', atMs: 0 });
+    checker.requestRan('q', 'e', 1);
+    checker.requestRan('q', 'f', 2);
+    checker.requestSent('r', { entry: 'entry-1', kind: 'repeatable', atMs: 0 });
+    checker.requestRan('r', 'e', 1);
+    checker.requestEnded('r', { kind: 'refused', status: 503 }, 2);
+    t.deepEqual(promises(checker), ['at most one run', 'refused requests did not run']);
+  });
+
+  test(title('reports responses that are truncated or belong to other requests'), (t) => {
+    const checker = createChecker();
+    checker.requestSent('q', { entry: 'entry-1', kind: 'resumable', atMs: 0 });
+    checker.requestEnded('q', { kind: 'complete', text: wholeText('other') }, 2);
+    t.deepEqual(promises(checker), ['whole own answers']);
+  });
+
+  test(
+    title('reports a broken response only without faults, and only if an endpoint ran the request'),
+    (t) => {
+      for (const [isUndisturbed, hasRun, breaks] of [
+        [true, true, 1],
+        [false, true, 0],
+        [true, false, 0],
+      ] as const) {
+        const checker = createChecker(isUndisturbed);
+        checker.requestSent('q', { entry: 'entry-1', kind: 'once', atMs: 0 });
+        if (hasRun) checker.requestRan('q', 'e', 1);
+        checker.requestEnded('q', { kind: 'cut', reason: 'reset' }, 2);
+        t.is(promises(checker).length, breaks);
+      }
+    },
+  );
+
+  test(title('reports configurations that revert or change without a new version'), (t) => {
+    const checker = createChecker();
+    checker.configurationAcknowledged(5, 100);
+    checker.configurationRead(4, 'four', 50);
+    checker.configurationRead(4, 'four', 150);
+    checker.configurationRead(5, 'five', 160);
+    checker.configurationRead(5, 'other five', 170);
+    t.deepEqual(promises(checker), ['configurations never revert', 'one content a version']);
+  });
+
+  test(title('reports an entry that goes back to an older configuration'), (t) => {
+    const checker = createChecker();
+    checker.configurationAcknowledged(3, 10);
+    checker.configurationAcknowledged(5, 20);
+    t.is(checker.newestAcknowledgedConfiguration, 5);
+    checker.configurationChecked({ entry: 'e', version: 5, isApplied: false }, 30);
+    checker.configurationChecked({ entry: 'e', version: 3, isApplied: true }, 40);
+    checker.configurationChecked({ entry: 'e', version: 5, isApplied: false }, 50);
+    t.deepEqual(promises(checker), [], 'it may not have received the newest one yet');
+    checker.configurationChecked({ entry: 'e', version: 3, isApplied: false }, 60);
+    t.deepEqual(promises(checker), ['configurations never revert']);
+  });
+
+  test(title('reports results that are lost, moved, duplicated or wrong'), (t) => {
+    const checker = createChecker();
+    checker.jobSubmitted('j', ['a', 'b', 'c']);
+    checker.jobAccepted('j', ['a', 'b', 'c']);
+    checker.resultListed('j', 0, { itemId: 'a', state: 'complete', text: wholeText('a') }, 1);
+    checker.resultListed('j', 0, { itemId: 'b', state: 'complete', text: wholeText('b') }, 2);
+    checker.resultListed('j', 1, { itemId: 'a', state: 'complete', text: wholeText('a') }, 3);
+    checker.resultListed('j', 2, { itemId: 'b', state: 'complete', text: 'half' }, 4);
+    checker.jobMissing('j', 5);
+    t.deepEqual(promises(checker), [
+      'results keep position and content',
+      'an item is listed once',
+      'results are whole',
+      'accepted jobs stay readable',
+    ]);
+  });
+
+  test(title('reports accepted jobs that never complete'), (t) => {
+    const checker = createChecker();
+    checker.jobSubmitted('j', ['a']);
+    checker.jobAccepted('j', ['a']);
+    t.deepEqual(promises(checker), ['accepted items complete']);
+  });
+
+  // In seed 812 a cancellation was committed, and all processes were killed before it was
+  // acknowledged.
+  test(title('requires no results of a job after its cancellation was requested'), (t) => {
+    const checker = createChecker();
+    checker.jobSubmitted('j', ['a']);
+    checker.jobAccepted('j', ['a']);
+    checker.jobCancelRequested('j');
+    t.deepEqual(checker.incompleteJobs(), []);
+    t.deepEqual(promises(checker), []);
+  });
+
+  test(
+    title('reports runs for cancelled jobs, at endpoints that left, and of unknown requests'),
+    (t) => {
+      const checker = createChecker();
+      checker.jobSubmitted('j', ['a']);
+      checker.jobAccepted('j', ['a']);
+      checker.jobCancelled('j', 0);
+      checker.requestRan('a', 'e', 2900);
+      checker.requestRan('a', 'e', 3100);
+      checker.endpointLeft('f', 0);
+      checker.requestSent('q', { entry: 'entry-1', kind: 'repeatable', atMs: 0 });
+      checker.requestRan('q', 'f', 2400);
+      checker.requestRan('q', 'f', 2600);
+      checker.requestRan('unknown', 'e', 0);
+      t.deepEqual(promises(checker), [
+        'ended jobs stop',
+        'leaving endpoints get no work',
+        'only what was asked for runs',
+      ]);
+    },
+  );
+
+  test(title('reports content that keeps crashing endpoints, but only without faults'), (t) => {
+    const withRunsAfterThreeCrashes = (checker: PromiseChecker, runs: number): PromiseChecker => {
+      for (const atMs of [0, 100, 200]) checker.endpointCrashed('c', atMs);
+      for (let run = 0; run < runs; run += 1) {
+        checker.requestSent(`q${run}`, {
+          entry: 'entry-1',
+          kind: 'once',
+          atMs: 3200 + run,
+          crashingContent: 'c',
+        });
+        checker.requestRan(`q${run}`, 'e', 3201 + run);
+      }
+      return checker;
+    };
+    t.deepEqual(promises(withRunsAfterThreeCrashes(createChecker(), 3)), []);
+    t.deepEqual(promises(withRunsAfterThreeCrashes(createChecker(), 9)), [
+      'what ends endpoints is held back',
+    ]);
+    t.deepEqual(promises(withRunsAfterThreeCrashes(createChecker(false), 9)), []);
+  });
+
+  test(title('does not report a broken request whose endpoint was crashed by a content'), (t) => {
+    const checker = createChecker();
+    checker.requestSent('q', { entry: 'entry-1', kind: 'once', atMs: 0 });
+    checker.requestRan('q', 'e', 1);
+    checker.endpointCrashed('c', 50);
+    checker.requestEnded('q', { kind: 'failed', status: 502 }, 51);
+    t.deepEqual(promises(checker), []);
+  });
+});
--- a/packages/soak/src/relay.ts
+++ b/packages/soak/src/relay.ts
@@ -1,56 +1,54 @@
 /**
- * Stands between the peers of a process and the process, and harms what passes: it delays,
- * stops or resets connections without either end being told.
+ * Proxies connections between a process and its peers, and impairs them: delays or blocks traffic,
+ * or resets connections.
  */
 import { connect, createServer } from 'node:net';
 import type { Server, Socket } from 'node:net';
 
-/** Addresses that a relay joins. */
+/** Addresses on both sides of a relay. */
 export interface RelayOptions {
-  /** IP number that the peers know. */
+  /** IP address that the peers connect to. */
   readonly host: string;
-  /** IP number that the process listens on, and connects from. */
+  /** IP address that the process listens on and connects from. */
   readonly processHost: string;
   readonly port: number;
 }
 
-/** What happens to the bytes between two processes. */
-export interface Harm {
-  readonly isStopped: boolean;
+/** Impairment of the traffic from one process to another. */
+export interface LinkImpairment {
+  readonly isBlocked: boolean;
   readonly delayMs: number;
 }
 
-/** No harm. */
-export const UNHARMED: Harm = { isStopped: false, delayMs: 0 };
+export const NO_IMPAIRMENT: LinkImpairment = { isBlocked: false, delayMs: 0 };
 
-/** Nothing passes. */
-export const STOPPED: Harm = { isStopped: true, delayMs: 0 };
+/** Blocks all traffic. */
+export const BLOCKED: LinkImpairment = { isBlocked: true, delayMs: 0 };
 
-/** Tells what happens to bytes on their way from one process to another, by IP number. */
-export type HarmBetween = (fromHost: string, toHost: string) => Harm;
+/** Returns the impairment of the traffic from one process to another, by IP address. */
+export type ImpairmentBetween = (fromHost: string, toHost: string) => LinkImpairment;
 
-/** The two halves of a connection that passes through a relay. */
-interface Joined {
+/** A connection through a relay, with its incoming and outgoing socket. */
+interface RelayedConnection {
   isSilent: boolean;
 }
 
-/** Relay in front of one port of one process. */
+/** Relay in front of one port of a process. */
 export class Relay {
   private readonly options: RelayOptions;
-  private readonly harmBetween: HarmBetween;
+  private readonly impairmentBetween: ImpairmentBetween;
   private readonly server: Server;
   private readonly sockets = new Set<Socket>();
-  private readonly joined = new Set<Joined>();
+  private readonly connections = new Set<RelayedConnection>();
 
-  constructor(options: RelayOptions, harmBetween: HarmBetween) {
+  constructor(options: RelayOptions, impairmentBetween: ImpairmentBetween) {
     this.options = options;
-    this.harmBetween = harmBetween;
+    this.impairmentBetween = impairmentBetween;
     this.server = createServer((incoming) => {
-      this.join(incoming);
+      this.acceptConnection(incoming);
     });
   }
 
-  /** Starts to listen. */
   async listen(): Promise<void> {
     const { host, port } = this.options;
     await new Promise<void>((resolve, reject) => {
@@ -64,66 +62,76 @@
     for (const socket of this.sockets) socket.resetAndDestroy();
   }
 
-  /** All open connections go silent for good; neither end is told, and new ones work. */
+  /** Drops all further data of the open connections, which stay open; new connections work. */
   silenceOpen(): void {
-    for (const connection of this.joined) connection.isSilent = true;
+    for (const connection of this.connections) connection.isSilent = true;
   }
 
-  /** Closes it for good. */
+  /** Resets all connections and stops listening. */
   async close(): Promise<void> {
     this.reset();
     await new Promise((resolve) => this.server.close(resolve));
   }
 
-  private join(incoming: Socket): void {
+  private acceptConnection(incoming: Socket): void {
     const { processHost, port } = this.options;
     const peerHost = incoming.remoteAddress ?? '';
     const outgoing = connect({ host: processHost, port });
-    const connection: Joined = { isSilent: false };
-    this.joined.add(connection);
-    incoming.on('close', () => this.joined.delete(connection));
-    this.pass(connection, incoming, outgoing, () => this.harmBetween(peerHost, processHost));
-    this.pass(connection, outgoing, incoming, () => this.harmBetween(processHost, peerHost));
+    const connection: RelayedConnection = { isSilent: false };
+    this.connections.add(connection);
+    incoming.on('close', () => this.connections.delete(connection));
+    this.forward(connection, incoming, outgoing, () =>
+      this.impairmentBetween(peerHost, processHost),
+    );
+    this.forward(connection, outgoing, incoming, () =>
+      this.impairmentBetween(processHost, peerHost),
+    );
   }
 
-  /** What is stopped waits and goes on later, like the packets of a link that was cut. */
-  private pass(connection: Joined, from: Socket, to: Socket, harm: () => Harm): void {
+  /** Forwards data; blocked data is queued and sent later, like the packets of a broken link. */
+  private forward(
+    connection: RelayedConnection,
+    from: Socket,
+    to: Socket,
+    impairment: () => LinkImpairment,
+  ): void {
     const queue: Buffer[] = [];
-    let isFlowing = false;
-    const flow = (): void => {
-      const { isStopped, delayMs } = harm();
-      if (isStopped) {
-        setTimeout(flow, POLL_MS);
+    let isSending = false;
+    const sendNext = (): void => {
+      const { isBlocked, delayMs } = impairment();
+      if (isBlocked) {
+        setTimeout(sendNext, POLL_MS);
         return;
       }
       setTimeout(() => {
         const chunk = queue.shift();
         if (chunk !== undefined && to.writable) to.write(chunk);
-        isFlowing = queue.length > 0;
-        if (isFlowing) flow();
+        isSending = queue.length > 0;
+        if (isSending) sendNext();
       }, delayMs);
     };
     this.sockets.add(from);
     from.on('data', (chunk: Buffer) => {
       if (connection.isSilent) return;
       queue.push(chunk);
-      if (isFlowing) return;
-      isFlowing = true;
-      flow();
+      if (isSending) return;
+      isSending = true;
+      sendNext();
     });
-    // Ends of a connection do not get through a cut either; resets of the peer are its own affair.
-    const endWhenFree = (): void => {
+    // The end of a connection is held while traffic is blocked, like its data. Errors are ignored,
+    // because a close event follows.
+    const closeWhenUnblocked = (): void => {
       if (connection.isSilent) return;
-      if (harm().isStopped) setTimeout(endWhenFree, POLL_MS);
+      if (impairment().isBlocked) setTimeout(closeWhenUnblocked, POLL_MS);
       else to.destroy();
     };
     from.on('error', () => undefined);
     from.on('close', () => {
       this.sockets.delete(from);
-      setTimeout(endWhenFree, harm().delayMs);
+      setTimeout(closeWhenUnblocked, impairment().delayMs);
     });
   }
 }
 
-/** Time between looks whether a stopped connection may go on. */
+/** Interval at which a blocked connection checks whether it may continue. */
 const POLL_MS = 20;
--- a/packages/soak/src/soak-load.ts
+++ b/packages/soak/src/soak-load.ts
@@ -1,60 +1,60 @@
 /**
- * Callers, operators and endpoints of one run: they work on whatever fails around them, and
- * write down what they saw.
+ * Callers and operators of one run: they keep working whatever fails, and record their
+ * observations.
  */
 import { setTimeout as pause } from 'node:timers/promises';
 import { pick, seededRandom } from '@shedline/test-utils';
 import type { RandomSource } from '@shedline/test-utils';
 import { CRASHER_PREFIX, POISON_PREFIX } from './expected.js';
-import { TOLD_VERSIONS } from './fleet-wire.js';
-import type { FleetWire, SoakCaller } from './fleet-wire.js';
-import type { Ledger, RequestKind } from './ledger.js';
-import type { Place } from './process-set.js';
+import { DISTINGUISHABLE_VERSIONS } from './fleet-adapter.js';
+import type { FleetAdapter, SoakCaller } from './fleet-adapter.js';
+import type { PromiseChecker, RequestKind } from './promise-checker.js';
+import type { ProcessSpec } from './process-set.js';
 
 const CALLERS = 8;
 const REQUEST_TIMEOUT_MS = 4000;
 const CALLER_PAUSE_MS = 60;
 const JOB_PAUSE_MS = 900;
 const MAX_JOB_ITEMS = 8;
-const ENDED_JOB_SHARE = 0.15;
+const CANCELLED_JOB_SHARE = 0.15;
 const POISON_SHARE = 0.04;
 const SUBMIT_ATTEMPTS = 12;
 const RETRY_PAUSE_MS = 250;
 const READ_PAUSE_MS = 350;
 const OPERATOR_PAUSE_MS = 700;
-const RACE_SHARE = 0.2;
-const CHALLENGES = 4;
-/** Time after an acknowledgement from which every process must know a configuration. */
-const IN_FORCE_MS = 2000;
-/** Time between two attempts of a caller whose content ends endpoints. */
-const CRASHER_PAUSE_MS = 300;
+const CONCURRENT_PUT_SHARE = 0.2;
+const PUTS_WHILE_IMPAIRED = 4;
+/** Time after its acknowledgement within which every process must know a configuration. */
+const KNOWN_WITHIN_MS = 2000;
+/** Time between two attempts of a caller whose content crashes endpoints. */
+const CRASHING_CALLER_PAUSE_MS = 300;
 const KINDS: readonly RequestKind[] = ['resumable', 'once', 'repeatable'];
 
 /** Options of {@link SoakLoad}. */
 export interface SoakLoadOptions {
   readonly seed: number;
-  readonly wire: FleetWire;
-  readonly ledger: Ledger;
-  readonly entries: readonly Place[];
-  readonly controls: readonly Place[];
+  readonly adapter: FleetAdapter;
+  readonly checker: PromiseChecker;
+  readonly entries: readonly ProcessSpec[];
+  readonly controls: readonly ProcessSpec[];
   readonly nowMs: () => number;
-  /** Entries that callers would be sent to now. */
-  readonly usableEntries: () => readonly Place[];
+  /** Returns the entries to which callers would currently be directed. */
+  readonly usableEntries: () => readonly ProcessSpec[];
   /**
-   * Requests a second of callers that do not wait for the answers of others, beside those that
-   * do: what is lost does not make the load smaller.
+   * Additional requests per second that are sent without waiting for the responses to earlier ones,
+   * so that lost requests do not reduce the load.
    */
   readonly pacedPerS?: number;
-  /** Callers that send, again and again, a content of their own that ends its endpoint. */
+  /** Number of callers that each repeatedly send a content which crashes endpoints. */
   readonly crashers?: number;
 }
 
-/** Everything that uses the fleet in one run. */
+/** Load on the fleet in one run. */
 export class SoakLoad {
   private readonly options: SoakLoadOptions;
   private readonly random: RandomSource;
   private readonly loops: Promise<void>[] = [];
-  private stopped = false;
+  private hasStopped = false;
   private nextId = 1;
   private version = 1;
 
@@ -63,45 +63,45 @@
     this.random = seededRandom(options.seed + 1);
   }
 
-  /** Puts the first configuration; returns once it is acknowledged. */
+  /** Puts the first configuration, with retries until it is acknowledged. */
   async configure(): Promise<void> {
     await this.putConfiguration(0);
   }
 
-  /** Starts callers and operators. */
   start(): void {
     for (let caller = 0; caller < CALLERS; caller += 1) this.loops.push(this.callerLoop());
     this.loops.push(this.jobLoop(), this.operatorLoop(), this.configurationReadLoop());
-    for (const entry of this.options.entries) this.loops.push(this.obedienceLoop(entry));
+    for (const entry of this.options.entries) this.loops.push(this.configurationCheckLoop(entry));
     const { pacedPerS = 0, crashers = 0 } = this.options;
-    for (let index = 0; index < crashers; index += 1) this.loops.push(this.crasherLoop(index));
+    for (let index = 0; index < crashers; index += 1)
+      this.loops.push(this.crashingCallerLoop(index));
     if (pacedPerS > 0) this.loops.push(this.pacedLoop(1000 / pacedPerS));
   }
 
-  /** Starts nothing new, and waits for what is under way. */
+  /** Starts no new work and waits for what is in progress. */
   async stop(): Promise<void> {
-    this.stopped = true;
+    this.hasStopped = true;
     await Promise.all(this.loops);
   }
 
-  /** Sends one request through an entry; true where it was answered whole. */
-  probe(entry: Place): Promise<boolean> {
-    return this.requestAlone(entry, 'repeatable');
+  /** Sends one request through an entry; returns whether it completed. */
+  probe(entry: ProcessSpec): Promise<boolean> {
+    return this.requestOnNewConnection(entry, 'repeatable');
   }
 
-  /** Reads all results of a job again, at one entry. */
-  async readJob(entry: Place, jobId: string): Promise<boolean> {
-    const { wire, ledger, nowMs } = this.options;
+  /** Reads all results of a job at one entry; returns whether the list was complete. */
+  async readJob(entry: ProcessSpec, jobId: string): Promise<boolean> {
+    const { adapter, checker, nowMs } = this.options;
     let position = 0;
     for (;;) {
-      const page = await wire.readResults(entry, jobId, position);
+      const page = await adapter.readResults(entry, jobId, position);
       if (page === undefined) return false;
       if (page === 'unknown') {
-        ledger.jobMissing(jobId, nowMs());
+        checker.jobMissing(jobId, nowMs());
         return false;
       }
       for (const [index, result] of page.results.entries()) {
-        ledger.listed(jobId, position + index, result, nowMs());
+        checker.resultListed(jobId, position + index, result, nowMs());
       }
       position += page.results.length;
       if (position >= page.total) return true;
@@ -109,158 +109,174 @@
     }
   }
 
-  /** The configuration in force as some control process gives it. */
-  async readConfiguration(control: Place): Promise<boolean> {
-    const askedAtMs = this.options.nowMs();
-    const read = await this.options.wire.readConfiguration(control);
-    if (read === undefined) return false;
-    this.options.ledger.configurationRead(read.version, read.content, askedAtMs - IN_FORCE_MS);
+  /** Reads the configuration in force from a control process; returns whether that succeeded. */
+  async readConfiguration(control: ProcessSpec): Promise<boolean> {
+    const requestedAtMs = this.options.nowMs();
+    const configuration = await this.options.adapter.readConfiguration(control);
+    if (configuration === undefined) return false;
+    this.options.checker.configurationRead(
+      configuration.version,
+      configuration.content,
+      requestedAtMs - KNOWN_WITHIN_MS,
+    );
     return true;
   }
 
-  /** Asks an entry whether it obeys a configuration; writes down what it says. */
-  async askWhetherObeyed(entry: Place, version: number): Promise<boolean> {
-    const { wire, ledger, nowMs } = this.options;
-    const isObeyed = await wire.obeys(entry, version);
-    // An entry may be far ahead of what is known to be acknowledged, and then tells older ones no more.
-    const isTold = this.version - version < TOLD_VERSIONS;
-    if (isObeyed === true || (isObeyed === false && isTold))
-      ledger.obeyed({ entry: entry.name, version, isObeyed }, nowMs());
-    return isObeyed === true;
+  /** Checks whether an entry applies a configuration, and records the reply. */
+  async checkApplied(entry: ProcessSpec, version: number): Promise<boolean> {
+    const { adapter, checker, nowMs } = this.options;
+    const isApplied = await adapter.appliesConfiguration(entry, version);
+    // An entry far ahead of the known acknowledgements no longer has the routes of old versions.
+    const isDistinguishable = this.version - version < DISTINGUISHABLE_VERSIONS;
+    if (isApplied === true || (isApplied === false && isDistinguishable))
+      checker.configurationChecked({ entry: entry.name, version, isApplied }, nowMs());
+    return isApplied === true;
   }
 
-  /** Puts some configurations at one control process, one after the other. */
-  async challenge(control: Place): Promise<void> {
-    for (let attempt = 0; attempt < CHALLENGES && !this.stopped; attempt += 1) {
+  /** Puts several configurations to one control process, one after the other. */
+  async putSeveralTo(control: ProcessSpec): Promise<void> {
+    for (let attempt = 0; attempt < PUTS_WHILE_IMPAIRED && !this.hasStopped; attempt += 1) {
       await this.put(this.nextVersion(), 0, control);
     }
   }
 
   private async callerLoop(): Promise<void> {
-    while (!this.stopped) {
+    while (!this.hasStopped) {
       const usable = this.options.usableEntries();
       if (usable.length === 0) {
         await pause(RETRY_PAUSE_MS);
         continue;
       }
       const entry = pick(this.random, usable);
-      const caller = this.options.wire.openCaller(entry);
-      // The connection is kept until something goes wrong on it.
-      let goesOn = true;
-      while (goesOn && !this.isStopped()) {
-        goesOn = await this.request(caller, entry, pick(this.random, KINDS));
+      const caller = this.options.adapter.openCaller(entry);
+      // The connection is reused until a request on it fails.
+      let isUsable = true;
+      while (isUsable && !this.isStopped()) {
+        isUsable = await this.request(caller, entry, pick(this.random, KINDS));
         await pause(this.random() * CALLER_PAUSE_MS);
       }
       await caller.close();
     }
   }
 
-  /** Each request on a connection of its own, by turns at all entries. */
+  /** Sends each request on a new connection, to the entries in rotation. */
   private async pacedLoop(pauseMs: number): Promise<void> {
-    const open: Promise<unknown>[] = [];
-    for (let turn = 0; !this.stopped; turn += 1) {
+    const pending: Promise<unknown>[] = [];
+    for (let sentCount = 0; !this.hasStopped; sentCount += 1) {
       const usable = this.options.usableEntries();
-      const entry = usable[turn % Math.max(1, usable.length)];
-      const kind = KINDS[Math.floor(turn / Math.max(1, usable.length)) % KINDS.length];
-      if (entry !== undefined && kind !== undefined) open.push(this.requestAlone(entry, kind));
+      const entry = usable[sentCount % Math.max(1, usable.length)];
+      const kind = KINDS[Math.floor(sentCount / Math.max(1, usable.length)) % KINDS.length];
+      if (entry !== undefined && kind !== undefined)
+        pending.push(this.requestOnNewConnection(entry, kind));
       await pause(pauseMs);
     }
-    await Promise.all(open);
+    await Promise.all(pending);
   }
 
-  /** The same content under a new id each time, at any entry. */
-  private async crasherLoop(index: number): Promise<void> {
+  /** Sends the same content with a new request id each time, to random entries. */
+  private async crashingCallerLoop(index: number): Promise<void> {
     const content = `${CRASHER_PREFIX}${this.options.seed}-${index}`;
     const kind = KINDS[index % KINDS.length] ?? 'once';
-    const open: Promise<unknown>[] = [];
-    while (!this.stopped) {
+    const pending: Promise<unknown>[] = [];
+    while (!this.hasStopped) {
       const usable = this.options.usableEntries();
-      if (usable.length > 0) open.push(this.requestAlone(pick(this.random, usable), kind, content));
-      await pause(CRASHER_PAUSE_MS);
+      if (usable.length > 0)
+        pending.push(this.requestOnNewConnection(pick(this.random, usable), kind, content));
+      await pause(CRASHING_CALLER_PAUSE_MS);
     }
-    await Promise.all(open);
+    await Promise.all(pending);
   }
 
-  private async requestAlone(entry: Place, kind: RequestKind, crasher?: string): Promise<boolean> {
-    const caller = this.options.wire.openCaller(entry);
+  private async requestOnNewConnection(
+    entry: ProcessSpec,
+    kind: RequestKind,
+    crashingContent?: string,
+  ): Promise<boolean> {
+    const caller = this.options.adapter.openCaller(entry);
     try {
-      return await this.request(caller, entry, kind, crasher);
+      return await this.request(caller, entry, kind, crashingContent);
     } finally {
       await caller.close();
     }
   }
 
   private isStopped(): boolean {
-    return this.stopped;
+    return this.hasStopped;
   }
 
   private async request(
     caller: SoakCaller,
-    { name: entry }: Place,
+    { name: entry }: ProcessSpec,
     kind: RequestKind,
-    crasher?: string,
+    crashingContent?: string,
   ): Promise<boolean> {
-    const { ledger, nowMs } = this.options;
+    const { checker, nowMs } = this.options;
     const requestId = this.newId('q');
-    const asked = crasher === undefined ? {} : { content: crasher };
-    ledger.sent(requestId, {
+    const contentOption = crashingContent === undefined ? {} : { content: crashingContent };
+    checker.requestSent(requestId, {
       entry,
       kind,
       atMs: nowMs(),
-      ...(crasher === undefined ? {} : { crasher }),
+      ...(crashingContent === undefined ? {} : { crashingContent }),
+    });
+    const outcome = await caller.send({
+      requestId,
+      kind,
+      timeoutMs: REQUEST_TIMEOUT_MS,
+      ...contentOption,
     });
-    const end = await caller.send({ requestId, kind, timeoutMs: REQUEST_TIMEOUT_MS, ...asked });
-    ledger.ended(requestId, end, nowMs());
-    return end.kind === 'complete';
+    checker.requestEnded(requestId, outcome, nowMs());
+    return outcome.kind === 'complete';
   }
 
   private async jobLoop(): Promise<void> {
     const jobs: Promise<void>[] = [];
-    while (!this.stopped) {
-      jobs.push(this.oneJob());
+    while (!this.hasStopped) {
+      jobs.push(this.runJob());
       await pause(this.random() * 2 * JOB_PAUSE_MS);
     }
     await Promise.all(jobs);
   }
 
-  private async oneJob(): Promise<void> {
-    const { wire, ledger, entries, nowMs } = this.options;
+  private async runJob(): Promise<void> {
+    const { adapter, checker, entries, nowMs } = this.options;
     const jobId = this.newId('job');
     const count = 1 + Math.floor(this.random() * MAX_JOB_ITEMS);
     const itemIds = Array.from({ length: count }, () =>
       this.newId(this.random() < POISON_SHARE ? POISON_PREFIX : 'item'),
     );
-    const endsEarly = this.random() < ENDED_JOB_SHARE;
-    ledger.offered(jobId, itemIds);
-    if (!(await this.submit({ jobId, itemIds }))) return;
-    ledger.accepted(jobId, itemIds);
-    if (endsEarly) {
+    const isCancelled = this.random() < CANCELLED_JOB_SHARE;
+    checker.jobSubmitted(jobId, itemIds);
+    if (!(await this.submitWithRetries({ jobId, itemIds }))) return;
+    checker.jobAccepted(jobId, itemIds);
+    if (isCancelled) {
       await pause(this.random() * JOB_PAUSE_MS);
-      ledger.jobEndAsked(jobId);
-      if (await wire.endJob(pick(this.random, entries), jobId)) ledger.jobEnded(jobId, nowMs());
+      checker.jobCancelRequested(jobId);
+      if (await adapter.cancelJob(pick(this.random, entries), jobId))
+        checker.jobCancelled(jobId, nowMs());
     }
-    while (!this.stopped) {
+    while (!this.hasStopped) {
       if (await this.readJob(pick(this.random, entries), jobId)) return;
       await pause(READ_PAUSE_MS);
     }
   }
 
-  private async submit(job: { jobId: string; itemIds: string[] }): Promise<boolean> {
-    const { wire, entries } = this.options;
+  private async submitWithRetries(job: { jobId: string; itemIds: string[] }): Promise<boolean> {
+    const { adapter, entries } = this.options;
     for (let attempt = 0; attempt < SUBMIT_ATTEMPTS; attempt += 1) {
-      const answer = await wire.submitJob(pick(this.random, entries), job);
-      if (answer === 'accepted') return true;
+      const outcome = await adapter.submitJob(pick(this.random, entries), job);
+      if (outcome === 'accepted') return true;
       await pause(RETRY_PAUSE_MS);
     }
     return false;
   }
 
   private async operatorLoop(): Promise<void> {
-    while (!this.stopped) {
+    while (!this.hasStopped) {
       await pause(this.random() * 2 * OPERATOR_PAUSE_MS);
-      const races = this.random() < RACE_SHARE;
+      const isConcurrent = this.random() < CONCURRENT_PUT_SHARE;
       const version = this.nextVersion();
-      if (races) await Promise.all([this.put(version, 1), this.put(version, 2)]);
+      if (isConcurrent) await Promise.all([this.put(version, 1), this.put(version, 2)]);
       else await this.put(version, 0);
     }
   }
@@ -279,26 +295,26 @@
     variant: number,
     control = pick(this.random, this.options.controls),
   ): Promise<boolean> {
-    const { wire, ledger, nowMs } = this.options;
-    const isAcknowledged = await wire.putConfiguration(control, version, variant);
-    if (isAcknowledged) ledger.configured(version, nowMs());
+    const { adapter, checker, nowMs } = this.options;
+    const isAcknowledged = await adapter.putConfiguration(control, version, variant);
+    if (isAcknowledged) checker.configurationAcknowledged(version, nowMs());
     return isAcknowledged;
   }
 
   private async configurationReadLoop(): Promise<void> {
-    while (!this.stopped) {
+    while (!this.hasStopped) {
       await this.readConfiguration(pick(this.random, this.options.controls));
       await pause(READ_PAUSE_MS);
     }
   }
 
-  /** Asks one entry again and again which configuration it obeys. */
-  private async obedienceLoop(entry: Place): Promise<void> {
-    const { ledger } = this.options;
-    while (!this.stopped) {
-      const newest = ledger.newestConfiguration;
-      if (!(await this.askWhetherObeyed(entry, newest))) {
-        await this.askWhetherObeyed(entry, ledger.obeyedConfiguration(entry.name));
+  /** Repeatedly checks which configuration an entry applies. */
+  private async configurationCheckLoop(entry: ProcessSpec): Promise<void> {
+    const { checker } = this.options;
+    while (!this.hasStopped) {
+      const newest = checker.newestAcknowledgedConfiguration;
+      if (!(await this.checkApplied(entry, newest))) {
+        await this.checkApplied(entry, checker.newestAppliedConfiguration(entry.name));
       }
       await pause(READ_PAUSE_MS);
     }
--- a/packages/soak/src/soak-network.ts
+++ b/packages/soak/src/soak-network.ts
@@ -1,59 +1,66 @@
 /**
- * The network between the processes of a run: a relay before each, and what becomes of the bytes between them.
+ * The network between the processes of a run: a relay in front of each, and the impairments of the
+ * traffic between them.
  */
-import { Halves } from './halves.js';
+import { NetworkPartition } from './network-partition.js';
 import type { Role } from './fault-plan.js';
-import type { Place } from './process-set.js';
-import { Relay, STOPPED, UNHARMED } from './relay.js';
-import type { Harm } from './relay.js';
+import type { ProcessSpec } from './process-set.js';
+import { Relay, BLOCKED, NO_IMPAIRMENT } from './relay.js';
+import type { LinkImpairment } from './relay.js';
 
-/** Which way the bytes of a process are harmed. */
-export type HarmedWays = 'in' | 'both';
+/** Directions in which the traffic of a process is impaired. */
+export type ImpairedDirections = 'in' | 'both';
 
-/** Relays, and the harm done by them. */
+/** Relays and the current impairments. */
 export class SoakNetwork {
   private readonly peerPortOf: (role: Role) => number;
   private readonly relays = new Map<string, Relay>();
-  /** Harm by process host, on the way in and on the way out. */
-  private readonly harmIn = new Map<string, Harm>();
-  private readonly harmOut = new Map<string, Harm>();
-  /** While the fleet is cut in two. */
-  private halves: Halves | undefined;
+  /** Impairments of the traffic to and from processes, by process host. */
+  private readonly inboundImpairments = new Map<string, LinkImpairment>();
+  private readonly outboundImpairments = new Map<string, LinkImpairment>();
+  /** The network partition in effect, if any. */
+  private currentPartition: NetworkPartition | undefined;
 
-  /** `peerPortOf` gives the port that a relay stands before. */
+  /** `peerPortOf` returns the peer port of a role, which relays listen on. */
   constructor(peerPortOf: (role: Role) => number) {
     this.peerPortOf = peerPortOf;
   }
 
   /** Starts the relay of a process. */
-  async open({ name, role, host, processHost }: Place): Promise<void> {
+  async open({ name, role, host, processHost }: ProcessSpec): Promise<void> {
     const port = this.peerPortOf(role);
-    const relay = new Relay({ host, processHost, port }, (from, to) => this.between(from, to));
+    const relay = new Relay({ host, processHost, port }, (from, to) =>
+      this.impairmentBetween(from, to),
+    );
     await relay.listen();
     this.relays.set(name, relay);
   }
 
-  /** Harms what goes to a process, or to and from it, until {@link spare}. */
-  harm({ processHost }: Place, harm: Harm, ways: HarmedWays): void {
-    this.harmIn.set(processHost, harm);
-    if (ways === 'both') this.harmOut.set(processHost, harm);
+  /** Impairs the traffic to a process, or in both directions, until {@link restore}. */
+  impair(
+    { processHost }: ProcessSpec,
+    impairment: LinkImpairment,
+    directions: ImpairedDirections,
+  ): void {
+    this.inboundImpairments.set(processHost, impairment);
+    if (directions === 'both') this.outboundImpairments.set(processHost, impairment);
   }
 
-  /** Ends the harm to a process. */
-  spare({ processHost }: Place): void {
-    this.harmIn.delete(processHost);
-    this.harmOut.delete(processHost);
+  /** Removes the impairment of a process. */
+  restore({ processHost }: ProcessSpec): void {
+    this.inboundImpairments.delete(processHost);
+    this.outboundImpairments.delete(processHost);
   }
 
-  /** Cuts processes into two halves, see {@link Halves}, until {@link join}. */
-  cutInTwo(places: readonly Place[]): Halves {
-    this.halves = new Halves(places);
-    return this.halves;
+  /** Splits processes into two sides until {@link heal}; see {@link NetworkPartition}. */
+  partition(specs: readonly ProcessSpec[]): NetworkPartition {
+    this.currentPartition = new NetworkPartition(specs);
+    return this.currentPartition;
   }
 
-  /** Ends the cut. */
-  join(): void {
-    this.halves = undefined;
+  /** Ends the partition. */
+  heal(): void {
+    this.currentPartition = undefined;
   }
 
   /** Resets all connections to a process. */
@@ -61,7 +68,7 @@
     this.relays.get(name)?.reset();
   }
 
-  /** All open connections go silent for good; new ones work. */
+  /** Drops all further data of the open connections, which stay open; new connections work. */
   silenceOpen(): void {
     for (const relay of this.relays.values()) relay.silenceOpen();
   }
@@ -71,12 +78,15 @@
     await Promise.all([...this.relays.values()].map((relay) => relay.close()));
   }
 
-  private between(from: string, to: string): Harm {
-    if (this.halves?.parts(from, to) === true) return STOPPED;
-    const harms = [this.harmOut.get(from) ?? UNHARMED, this.harmIn.get(to) ?? UNHARMED];
+  private impairmentBetween(from: string, to: string): LinkImpairment {
+    if (this.currentPartition?.separates(from, to) === true) return BLOCKED;
+    const impairments = [
+      this.outboundImpairments.get(from) ?? NO_IMPAIRMENT,
+      this.inboundImpairments.get(to) ?? NO_IMPAIRMENT,
+    ];
     return {
-      isStopped: harms.some(({ isStopped }) => isStopped),
-      delayMs: Math.max(...harms.map(({ delayMs }) => delayMs)),
+      isBlocked: impairments.some(({ isBlocked }) => isBlocked),
+      delayMs: Math.max(...impairments.map(({ delayMs }) => delayMs)),
     };
   }
 }
--- a/packages/soak/src/soak-run.ts
+++ b/packages/soak/src/soak-run.ts
@@ -1,43 +1,43 @@
 /**
- * One run: starts a fleet, loads it, strikes it as planned, lifts everything and looks whether
- * all promises were kept.
+ * Runs one seed: starts a fleet under load, injects the planned faults, waits until the fleet has
+ * recovered and checks whether all promises were kept.
  */
 import { mkdir, writeFile } from 'node:fs/promises';
 import { join } from 'node:path';
 import { setTimeout as pause } from 'node:timers/promises';
 import { match } from 'ts-pattern';
-import { isCalm, planFaults } from './fault-plan.js';
+import { isUndisturbed, planFaults } from './fault-plan.js';
 import type { Fault, FaultKind, Role } from './fault-plan.js';
 import { EndpointSet } from './endpoint-set.js';
-import type { FleetWire } from './fleet-wire.js';
-import { Heartbeats } from './heartbeats.js';
-import { Ledger } from './ledger.js';
-import type { Break } from './ledger.js';
+import type { FleetAdapter } from './fleet-adapter.js';
+import { HeartbeatSender } from './heartbeat-sender.js';
+import { PromiseChecker } from './promise-checker.js';
+import type { PromiseViolation } from './promise-checker.js';
 import { ProcessSet } from './process-set.js';
-import type { Place } from './process-set.js';
-import { STOPPED } from './relay.js';
-import type { Harm } from './relay.js';
+import type { ProcessSpec } from './process-set.js';
+import { BLOCKED } from './relay.js';
+import type { LinkImpairment } from './relay.js';
 import { SoakLoad } from './soak-load.js';
 import { SoakNetwork } from './soak-network.js';
-import type { HarmedWays } from './soak-network.js';
+import type { ImpairedDirections } from './soak-network.js';
 
 const DELAY_MS = 120;
-/** Time for which the processes of a half are down. */
-const HALF_DOWN_MS = 300;
-/** Time in which a process that is told to stop has ended: far more than its settings give it, on a busy machine too. */
+/** Time for which the processes of the larger side are down after a partition. */
+const LARGER_SIDE_DOWN_MS = 300;
+/** Time within which a stopping process must exit; far above its settings, for a busy machine. */
 const STOP_WITHIN_MS = 30_000;
-/** Time that a fleet may take from power to its first configuration. */
+/** Maximum time from the start of a fleet to its first acknowledged configuration. */
 const FORM_WITHIN_MS = 20_000;
-/** Time after the last fault in which everything must come right. */
+/** Time after the last fault within which the fleet must recover. */
 const SETTLE_WITHIN_MS = 25_000;
 const SETTLE_POLL_MS = 300;
-/** Load before the first fault. */
+/** Time under load before the first fault. */
 const WARM_UP_MS = 1500;
-/** Load that goes on while all connections are silent; a third of what the endpoints can run. */
+/** Requests per second that do not wait for responses; a third of the capacity of the endpoints. */
 const PACED_PER_S = 25;
-/** Time before and after a silence over which service is compared. */
+/** Time before and after a silence for which the service is compared. */
 const COMPARE_MS = 3000;
-/** Time within which a request counts as served; undisturbed ones take a tenth of it. */
+/** Time within which a request counts as served; without faults a request takes a tenth of it. */
 const SERVED_WITHIN_MS = 1500;
 const PROCESS_HOST_OFFSET = 100;
 
@@ -45,19 +45,19 @@
 export interface SoakOptions {
   readonly seed: number;
   readonly durationMs: number;
-  /** Folder for this run's data and logs. */
+  /** Folder for the data and logs of this run. */
   readonly folder: string;
-  readonly wire: FleetWire;
+  readonly adapter: FleetAdapter;
   readonly counts?: Readonly<Record<Role | 'endpoint', number>>;
-  /** Kinds of faults to draw from; all where it is left out. */
+  /** Kinds of faults to draw from; all if omitted. */
   readonly kinds?: readonly FaultKind[];
-  /** Peer ports that relays stand before. */
+  /** Returns the peer port of a role, on which its relays listen. */
   readonly peerPortOf: (role: Role) => number;
-  /** Times that all open connections go silent; with any, relays stand before endpoints too. */
+  /** Number of times that all open connections are silenced; if any, endpoints get relays too. */
   readonly silences?: number;
-  /** Times that the core is cut in two; with any, it has four control processes. */
-  readonly halves?: number;
-  /** Callers whose content ends each endpoint that runs it. */
+  /** Number of partitions of the core; if any, the fleet has four control processes. */
+  readonly partitions?: number;
+  /** Number of callers whose content crashes each endpoint that runs it. */
   readonly crashers?: number;
 }
 
@@ -65,32 +65,32 @@
 export interface SoakOutcome {
   readonly seed: number;
   readonly faults: readonly Fault[];
-  readonly breaks: readonly Break[];
+  readonly breaks: readonly PromiseViolation[];
   readonly counts: Readonly<Record<string, number>>;
-  /** Service before and after each time that all open connections went silent. */
-  readonly silences: readonly SilenceService[];
+  /** Service before and after each silence of all open connections. */
+  readonly silences: readonly ServiceAroundSilence[];
   readonly tookMs: number;
 }
 
-/** Service around the moment at which all open connections went silent. */
-export interface SilenceService {
-  /** Share of the requests of the seconds before that were answered in time. */
+/** Service before and after a silence of all open connections. */
+export interface ServiceAroundSilence {
+  /** Share of the requests of the seconds before the silence that were served in time. */
   readonly beforeShare: number;
   /** The same for the seconds after. */
   readonly afterShare: number;
 }
 
 const DEFAULT_COUNTS = { control: 3, store: 3, entry: 4, endpoint: 5 };
-/** Each half has two control processes, which know each other and so miss nobody. */
-const COUNTS_WITH_HALVES = { ...DEFAULT_COUNTS, control: 4 };
-/** Control processes named by the settings; those beyond are spares of the group. */
+/** Each side has two control processes, so that none is left without a known peer. */
+const COUNTS_WITH_PARTITIONS = { ...DEFAULT_COUNTS, control: 4 };
+/** Number of control processes that the settings name as seeds; the others are spares. */
 const SEED_COUNT = 3;
 
-/** Plays one seed. */
+/** Runs one seed. */
 export async function runSoak(options: SoakOptions): Promise<SoakOutcome> {
   const run = new SoakRun(options);
   try {
-    return await run.play();
+    return await run.run();
   } finally {
     await run.close();
   }
@@ -98,63 +98,63 @@
 
 class SoakRun {
   private readonly options: SoakOptions;
-  private readonly wire: FleetWire;
-  private readonly places: readonly Place[];
+  private readonly adapter: FleetAdapter;
+  private readonly specs: readonly ProcessSpec[];
   private readonly processes: ProcessSet;
   private readonly network: SoakNetwork;
-  private readonly heartbeats: Heartbeats;
+  private readonly heartbeats: HeartbeatSender;
   private readonly endpoints: EndpointSet;
-  private readonly ledger: Ledger;
+  private readonly checker: PromiseChecker;
   private readonly load: SoakLoad;
   private readonly faults: readonly Fault[];
   private readonly endpointNames: readonly string[];
   private readonly unusable = new Set<string>();
   private readonly startedAtMs = performance.now();
-  /** Moment that the plan counts from, on the clock of this run. */
-  private planZeroMs = Infinity;
+  /** Start of the fault plan, on the clock of this run. */
+  private planStartMs = Infinity;
 
   constructor(options: SoakOptions) {
     this.options = options;
-    this.wire = options.wire;
-    const hasHalves = (options.halves ?? 0) > 0;
-    const counts = options.counts ?? (hasHalves ? COUNTS_WITH_HALVES : DEFAULT_COUNTS);
-    this.places = placesOf(options.seed, counts);
+    this.adapter = options.adapter;
+    const hasPartitions = (options.partitions ?? 0) > 0;
+    const counts = options.counts ?? (hasPartitions ? COUNTS_WITH_PARTITIONS : DEFAULT_COUNTS);
+    this.specs = specsOf(options.seed, counts);
     this.endpointNames = Array.from({ length: counts.endpoint }, (_, n) => `endpoint-${n + 1}`);
     const { seed, durationMs } = options;
     this.faults = planFaults({
       seed,
       durationMs,
-      targets: this.places,
+      targets: this.specs,
       endpoints: this.endpointNames,
       toleratedLosses: 1,
       ...(options.kinds === undefined ? {} : { kinds: options.kinds }),
       silences: options.silences ?? 0,
-      halves: options.halves ?? 0,
+      partitions: options.partitions ?? 0,
     });
     this.network = new SoakNetwork(options.peerPortOf);
     this.processes = this.createProcesses();
-    this.heartbeats = new Heartbeats(this.wire, this.ofRole('control'), (variant) => {
-      this.ledger.nonsenseTaken(`variant ${variant}`, this.nowMs());
+    this.heartbeats = new HeartbeatSender(this.adapter, this.ofRole('control'), (variant) => {
+      this.checker.invalidHeartbeatAccepted(`variant ${variant}`, this.nowMs());
     });
-    this.ledger = new Ledger({
-      isCalm: (fromMs, untilMs, concerns) => {
-        const zeroMs = this.planZeroMs;
-        const span = { fromMs: fromMs - zeroMs, untilMs: untilMs - zeroMs };
-        return isCalm(this.faults, span, concerns);
+    this.checker = new PromiseChecker({
+      isUndisturbed: (fromMs, untilMs, isRelevant) => {
+        const startMs = this.planStartMs;
+        const span = { fromMs: fromMs - startMs, untilMs: untilMs - startMs };
+        return isUndisturbed(this.faults, span, isRelevant);
       },
     });
     this.endpoints = new EndpointSet({
       network: networkOf(seed),
-      wire: this.wire,
-      ledger: this.ledger,
+      adapter: this.adapter,
+      checker: this.checker,
       heartbeats: this.heartbeats,
       nowMs: () => this.nowMs(),
       hasRelays: (options.silences ?? 0) > 0,
     });
     this.load = new SoakLoad({
       seed,
-      wire: this.wire,
-      ledger: this.ledger,
+      adapter: this.adapter,
+      checker: this.checker,
       entries: this.ofRole('entry'),
       controls: this.ofRole('control'),
       nowMs: () => this.nowMs(),
@@ -164,22 +164,22 @@
     });
   }
 
-  async play(): Promise<SoakOutcome> {
+  async run(): Promise<SoakOutcome> {
     await this.startFleet(this.endpointNames);
     this.load.start();
     await pause(WARM_UP_MS);
-    this.planZeroMs = this.nowMs();
-    await Promise.all(this.faults.map((fault) => this.strike(fault)));
+    this.planStartMs = this.nowMs();
+    await Promise.all(this.faults.map((fault) => this.inject(fault)));
     await this.settle();
     await this.load.stop();
-    await this.check();
-    const breaks = this.ledger.finish(this.nowMs());
+    await this.readBack();
+    const breaks = this.checker.finish(this.nowMs());
     const outcome = {
       seed: this.options.seed,
       faults: this.faults,
       breaks,
-      counts: Object.fromEntries(this.ledger.counts),
-      silences: this.silences(),
+      counts: Object.fromEntries(this.checker.counts),
+      silences: this.serviceAroundSilences(),
       tookMs: Math.round(this.nowMs()),
     };
     await writeFile(join(this.options.folder, 'outcome.json'), JSON.stringify(outcome, null, 2));
@@ -197,69 +197,71 @@
     return performance.now() - this.startedAtMs;
   }
 
-  private ofRole(role: Role): Place[] {
-    return this.places.filter((place) => place.role === role);
+  private ofRole(role: Role): ProcessSpec[] {
+    return this.specs.filter((spec) => spec.role === role);
   }
 
-  private usableEntries(): Place[] {
+  private usableEntries(): ProcessSpec[] {
     return this.ofRole('entry').filter(({ name }) => !this.unusable.has(name));
   }
 
   private createProcesses(): ProcessSet {
-    const { wire, folder } = this.options;
+    const { adapter, folder } = this.options;
     const seeds = this.ofRole('control').slice(0, SEED_COUNT);
     return new ProcessSet({
       folder,
-      places: this.places,
-      programOf: wire.programOf,
-      settingsVariable: wire.settingsVariable,
-      settingsOf: (place, settings) => wire.settingsOf(place, { ...settings, seeds }),
+      specs: this.specs,
+      programOf: adapter.programOf,
+      settingsVariable: adapter.settingsVariable,
+      settingsOf: (spec, settings) => adapter.settingsOf(spec, { ...settings, seeds }),
     });
   }
 
   private async startFleet(endpoints: readonly string[]): Promise<void> {
     await mkdir(this.options.folder, { recursive: true });
-    for (const place of this.places) await this.network.open(place);
-    for (const { name } of this.places) await this.processes.start(name, { isFounding: true });
+    for (const spec of this.specs) await this.network.open(spec);
+    for (const { name } of this.specs) await this.processes.start(name, { isFounding: true });
     for (const name of endpoints) await this.endpoints.start(name);
     this.heartbeats.start();
-    const formed = await Promise.race([
+    const isFormed = await Promise.race([
       this.load.configure().then(() => true),
       pause(FORM_WITHIN_MS, false, { ref: false }),
     ]);
-    if (!formed) throw new Error(`seed ${this.options.seed}: the fleet did not form`);
-    await this.untilServed(this.ofRole('entry'), FORM_WITHIN_MS);
+    if (!isFormed) throw new Error(`seed ${this.options.seed}: the fleet did not form`);
+    await this.waitUntilServed(this.ofRole('entry'), FORM_WITHIN_MS);
   }
 
-  /** Service around each silence of all connections, from what callers saw. */
-  private silences(): SilenceService[] {
+  /** Compares the service to callers before and after each silence of all connections. */
+  private serviceAroundSilences(): ServiceAroundSilence[] {
     const share = (fromMs: number): number =>
-      this.ledger.servedShare({ fromMs, untilMs: fromMs + COMPARE_MS }, SERVED_WITHIN_MS);
+      this.checker.servedShare({ fromMs, untilMs: fromMs + COMPARE_MS }, SERVED_WITHIN_MS);
     return this.faults
       .filter(({ kind }) => kind === 'silenceOpen')
       .map(({ atMs }) => ({
-        beforeShare: share(this.planZeroMs + atMs - COMPARE_MS),
-        afterShare: share(this.planZeroMs + atMs),
+        beforeShare: share(this.planStartMs + atMs - COMPARE_MS),
+        afterShare: share(this.planStartMs + atMs),
       }));
   }
 
-  /** Does one fault, and undoes it. */
-  private async strike(fault: Fault): Promise<void> {
-    await pause(Math.max(0, this.planZeroMs + fault.atMs - this.nowMs()));
+  /** Injects a fault at its time, and lifts it. */
+  private async inject(fault: Fault): Promise<void> {
+    await pause(Math.max(0, this.planStartMs + fault.atMs - this.nowMs()));
     const { kind, target, forMs } = fault;
     await match(kind)
-      .with('kill', () => this.down(target, forMs, () => Promise.resolve()))
-      .with('wipe', () => this.down(target, forMs, () => this.processes.wipe(target)))
-      .with('tornTail', () => this.down(target, forMs, () => this.processes.tear(target)))
-      .with('stop', () => this.stop(target))
+      .with('kill', () => this.killAndRestart(target, forMs, () => Promise.resolve()))
+      .with('wipe', () => this.killAndRestart(target, forMs, () => this.processes.wipe(target)))
+      .with('tornTail', () =>
+        this.killAndRestart(target, forMs, () => this.processes.appendTornWrite(target)),
+      )
+      .with('stop', () => this.stopAndRestart(target))
       .with('pause', () => this.pauseProcess(target, forMs))
       .with('reload', () => {
         this.processes.signal(target, 'SIGHUP');
       })
-      .with('silence', () => this.harmFor(target, forMs, STOPPED, 'both'))
-      .with('silenceIn', () => this.harmFor(target, forMs, STOPPED, 'in'))
+      .with('silence', () => this.impairFor(target, forMs, BLOCKED, 'both'))
+      .with('silenceIn', () => this.impairFor(target, forMs, BLOCKED, 'in'))
       .with('delay', () =>
-        this.harmFor(target, forMs, { isStopped: false, delayMs: DELAY_MS }, 'both'),
+        this.impairFor(target, forMs, { isBlocked: false, delayMs: DELAY_MS }, 'both'),
       )
       .with('reset', () => {
         this.network.reset(target);
@@ -268,8 +270,8 @@
         this.network.silenceOpen();
         this.endpoints.silenceOpen();
       })
-      .with('cutInTwo', () => this.cutInTwo(forMs, false))
-      .with('cutInTwoAndKill', () => this.cutInTwo(forMs, true))
+      .with('cutInTwo', () => this.partition(forMs, false))
+      .with('cutInTwoAndKill', () => this.partition(forMs, true))
       .with('killAll', () => this.killAll(forMs))
       .with('endpointCrash', () => this.endpoints.crash(target, forMs))
       .with('endpointHang', () => this.endpoints.hang(target, forMs))
@@ -277,22 +279,26 @@
       .exhaustive();
   }
 
-  private async down(name: string, forMs: number, between: () => Promise<void>): Promise<void> {
+  private async killAndRestart(
+    name: string,
+    forMs: number,
+    whileDown: () => Promise<void>,
+  ): Promise<void> {
     this.unusable.add(name);
-    await this.processes.end(name, 'SIGKILL');
-    await between();
+    await this.processes.terminate(name, 'SIGKILL');
+    await whileDown();
     await pause(forMs);
     await this.processes.start(name);
     this.unusable.delete(name);
   }
 
-  /** Callers that have a connection go on using it until the process is gone. */
-  private async stop(name: string): Promise<void> {
+  /** Requests an orderly stop; callers keep using their connections until the process exits. */
+  private async stopAndRestart(name: string): Promise<void> {
     this.unusable.add(name);
-    const ended = this.processes.end(name, 'SIGTERM').then(() => true);
-    if (!(await Promise.race([ended, pause(STOP_WITHIN_MS, false, { ref: false })]))) {
-      this.ledger.broken('planned stops end', this.nowMs(), name);
-      await this.processes.end(name, 'SIGKILL');
+    const exited = this.processes.terminate(name, 'SIGTERM').then(() => true);
+    if (!(await Promise.race([exited, pause(STOP_WITHIN_MS, false, { ref: false })]))) {
+      this.checker.addViolation('planned stops end', this.nowMs(), name);
+      await this.processes.terminate(name, 'SIGKILL');
     }
     await this.processes.start(name);
     this.unusable.delete(name);
@@ -304,53 +310,63 @@
     this.processes.signal(name, 'SIGCONT');
   }
 
-  private async harmFor(name: string, forMs: number, harm: Harm, ways: HarmedWays): Promise<void> {
-    const place = this.worstPlaceFor(name);
-    if (place === undefined) return;
-    this.network.harm(place, harm, ways);
-    // One that is cut off must acknowledge nothing: operators ask just that one.
-    if (place.role === 'control') void this.load.challenge(place);
+  private async impairFor(
+    name: string,
+    forMs: number,
+    impairment: LinkImpairment,
+    directions: ImpairedDirections,
+  ): Promise<void> {
+    const spec = this.leaderOrTarget(name);
+    if (spec === undefined) return;
+    this.network.impair(spec, impairment, directions);
+    // Sends configurations to the isolated control process, which must acknowledge none.
+    if (spec.role === 'control') void this.load.putSeveralTo(spec);
     await pause(forMs);
-    this.network.spare(place);
+    this.network.restore(spec);
   }
 
-  /** Of control processes and stores the one that leads: it has the most to do wrong. */
-  private worstPlaceFor(name: string): Place | undefined {
-    const planned = this.places.find((candidate) => candidate.name === name);
+  /** Returns the leader of the role, if known: an isolated leader can violate the most promises. */
+  private leaderOrTarget(name: string): ProcessSpec | undefined {
+    const planned = this.specs.find((candidate) => candidate.name === name);
     const leader = planned === undefined ? undefined : this.processes.leaderOf(planned.role);
-    return this.places.find((candidate) => candidate.name === leader) ?? planned;
+    return this.specs.find((candidate) => candidate.name === leader) ?? planned;
   }
 
-  private async cutInTwo(forMs: number, isOneKilled: boolean): Promise<void> {
-    const halves = this.network.cutInTwo([...this.ofRole('control'), ...this.ofRole('entry')]);
+  private async partition(forMs: number, killsLargerSide: boolean): Promise<void> {
+    const partition = this.network.partition([...this.ofRole('control'), ...this.ofRole('entry')]);
     await pause(forMs);
-    this.network.join();
-    if (isOneKilled) await this.killAll(HALF_DOWN_MS, halves.larger);
+    this.network.heal();
+    if (killsLargerSide) await this.killAll(LARGER_SIDE_DOWN_MS, partition.largerSide);
   }
 
-  private async killAll(forMs: number, places = this.places): Promise<void> {
-    const names = places.map(({ name }) => name).filter((n) => this.processes.isRunning(n));
-    await Promise.all(names.map((name) => this.processes.end(name, 'SIGKILL')));
+  private async killAll(forMs: number, specs = this.specs): Promise<void> {
+    const names = specs.map(({ name }) => name).filter((n) => this.processes.isRunning(n));
+    await Promise.all(names.map((name) => this.processes.terminate(name, 'SIGKILL')));
     await pause(forMs);
     for (const name of names) {
       if (!this.processes.isRunning(name)) await this.processes.start(name);
     }
   }
 
-  /** Waits until everything that was accepted is done and every entry serves. */
+  /** Waits until every entry serves requests and all accepted jobs are complete. */
   private async settle(): Promise<void> {
     const untilMs = this.nowMs() + SETTLE_WITHIN_MS;
-    await this.untilServed(this.ofRole('entry'), SETTLE_WITHIN_MS);
-    await this.untilObeyed(untilMs);
-    while (this.ledger.openJobs().length > 0 && this.nowMs() < untilMs) await pause(SETTLE_POLL_MS);
+    await this.waitUntilServed(this.ofRole('entry'), SETTLE_WITHIN_MS);
+    await this.waitUntilApplied(untilMs);
+    while (this.checker.incompleteJobs().length > 0 && this.nowMs() < untilMs)
+      await pause(SETTLE_POLL_MS);
   }
 
-  private async untilServed(entries: readonly Place[], withinMs: number): Promise<void> {
+  private async waitUntilServed(entries: readonly ProcessSpec[], withinMs: number): Promise<void> {
     const untilMs = this.nowMs() + withinMs;
     for (const entry of entries) {
       while (!(await this.load.probe(entry))) {
         if (this.nowMs() > untilMs) {
-          this.ledger.broken('service comes back', this.nowMs(), `${entry.name} serves nothing`);
+          this.checker.addViolation(
+            'service comes back',
+            this.nowMs(),
+            `${entry.name} serves nothing`,
+          );
           return;
         }
         await pause(SETTLE_POLL_MS);
@@ -358,14 +374,14 @@
     }
   }
 
-  /** Waits until every entry obeys what had been acknowledged when the last fault was lifted. */
-  private async untilObeyed(untilMs: number): Promise<void> {
-    const version = this.ledger.newestConfiguration;
+  /** Waits until every entry applies the newest configuration acknowledged by now. */
+  private async waitUntilApplied(untilMs: number): Promise<void> {
+    const version = this.checker.newestAcknowledgedConfiguration;
     for (const entry of this.ofRole('entry')) {
-      while (!(await this.load.askWhetherObeyed(entry, version))) {
+      while (!(await this.load.checkApplied(entry, version))) {
         if (this.nowMs() > untilMs) {
           const detail = `${entry.name} does not obey ${version}`;
-          this.ledger.broken('configurations come into force', this.nowMs(), detail);
+          this.checker.addViolation('configurations come into force', this.nowMs(), detail);
           break;
         }
         await pause(SETTLE_POLL_MS);
@@ -373,23 +389,23 @@
     }
   }
 
-  /** Reads back what was acknowledged, at every process. */
-  private async check(): Promise<void> {
-    for (const end of this.processes.ownEnds) {
-      this.ledger.broken('no process ends by itself', this.nowMs(), end);
+  /** Reports unexpected exits, and reads everything that was acknowledged at every process. */
+  private async readBack(): Promise<void> {
+    for (const exit of this.processes.unexpectedExits) {
+      this.checker.addViolation('no process ends by itself', this.nowMs(), exit);
     }
     for (const control of this.ofRole('control')) {
       if (!(await this.load.readConfiguration(control))) {
-        this.ledger.broken('configurations are readable', this.nowMs(), control.name);
+        this.checker.addViolation('configurations are readable', this.nowMs(), control.name);
       }
     }
-    for (const jobId of this.ledger.acceptedJobs) {
+    for (const jobId of this.checker.acceptedJobs) {
       for (const entry of this.ofRole('entry')) await this.load.readJob(entry, jobId);
     }
   }
 }
 
-function placesOf(seed: number, counts: Readonly<Record<Role, number>>): Place[] {
+function specsOf(seed: number, counts: Readonly<Record<Role, number>>): ProcessSpec[] {
   const network = networkOf(seed);
   const roles: Role[] = ['control', 'store', 'entry'];
   const names = roles.flatMap((role) =>
@@ -403,7 +419,7 @@
   }));
 }
 
-/** A loopback network of its own for each seed. */
+/** Returns the loopback network of a seed. */
 function networkOf(seed: number): string {
   return `127.${1 + (seed % 250)}.${1 + (Math.floor(seed / 250) % 250)}`;
 }
