--- a/packages/soak/src/endpoint-set.test.ts
+++ b/packages/soak/src/endpoint-set.test.ts
@@ -35,7 +35,7 @@
   }
 }
 
-function endpointSet(fake: FakeEndpoints): EndpointSet {
+function createEndpointSet(fake: FakeEndpoints): EndpointSet {
   const adapter = fake as unknown as FleetAdapter;
   return new EndpointSet({
     network: '127.78.1',
@@ -50,7 +50,7 @@
 describe('EndpointSet', () => {
   test(title('an endpoint that is down when the set closes does not restart'), async (t) => {
     const fake = new FakeEndpoints();
-    const endpoints = endpointSet(fake);
+    const endpoints = createEndpointSet(fake);
     await endpoints.start(NAME);
     const restart = endpoints.crash(NAME, START_MS);
     await endpoints.close();
@@ -60,7 +60,7 @@
 
   test(title('an endpoint that is starting when the set closes is stopped too'), async (t) => {
     const fake = new FakeEndpoints();
-    const endpoints = endpointSet(fake);
+    const endpoints = createEndpointSet(fake);
     const start = endpoints.start(NAME);
     await endpoints.close();
     await start;
--- a/packages/soak/src/expected.ts
+++ b/packages/soak/src/expected-response.ts
@@ -4,27 +4,27 @@
  */
 import { unitHash } from '@shedline/types';
 
-const MIN_PIECES = 3;
-const MAX_PIECES = 12;
+const MIN_EVENTS = 3;
+const MAX_EVENTS = 12;
 /** Prefix of the ids of requests that always fail. */
 export const POISON_PREFIX = 'poison-';
 
 /** Returns the number of events in the response to a request. */
-export function pieceCount(requestId: string): number {
-  return MIN_PIECES + Math.floor(unitHash(requestId) * (MAX_PIECES - MIN_PIECES));
+export function eventCountOf(requestId: string): number {
+  return MIN_EVENTS + Math.floor(unitHash(requestId) * (MAX_EVENTS - MIN_EVENTS));
 }
 
 /** Returns the data of one event; `number` counts from 1. */
-export function pieceOf(requestId: string, number: number): string {
+export function eventDataOf(requestId: string, number: number): string {
   return `${requestId}:${number}`;
 }
 
 /** Returns the data of all events, one per line. */
-export function wholeText(requestId: string): string {
-  const pieces = Array.from({ length: pieceCount(requestId) }, (_, index) =>
-    pieceOf(requestId, index + 1),
+export function completeTextOf(requestId: string): string {
+  const events = Array.from({ length: eventCountOf(requestId) }, (_, index) =>
+    eventDataOf(requestId, index + 1),
   );
-  return pieces.join('\n');
+  return events.join('\n');
 }
 
 /** Prefix of contents that crash the endpoint which runs them. */
--- a/packages/soak/src/index.ts
+++ b/packages/soak/src/index.ts
@@ -1,7 +1,7 @@
 /**
  * Randomized fault-injection test of the real programs.
  */
-export * from './expected.js';
+export * from './expected-response.js';
 export * from './fault-plan.js';
 export * from './fleet-adapter.js';
 export * from './promise-checker.js';
--- a/packages/soak/src/promise-checker.test.ts
+++ b/packages/soak/src/promise-checker.test.ts
@@ -1,6 +1,6 @@
 import test from 'ava';
 import { describe, title } from '@shedline/test-utils';
-import { wholeText } from './expected.js';
+import { completeTextOf } from './expected-response.js';
 import { PromiseChecker } from './promise-checker.js';
 
 function createChecker(isUndisturbed = true): PromiseChecker {
@@ -16,12 +16,12 @@
     const checker = createChecker();
     checker.requestSent('q', { entry: 'entry-1', kind: 'once', atMs: 0 });
     checker.requestRan('q', 'e', 1);
-    checker.requestEnded('q', { kind: 'complete', text: wholeText('q') }, 2);
+    checker.requestEnded('q', { kind: 'complete', text: completeTextOf('q') }, 2);
     checker.jobSubmitted('j', ['i']);
     checker.jobAccepted('j', ['i']);
     checker.requestRan('i', 'e', 3);
-    checker.resultListed('j', 0, { itemId: 'i', state: 'complete', text: wholeText('i') }, 4);
-    checker.resultListed('j', 0, { itemId: 'i', state: 'complete', text: wholeText('i') }, 5);
+    checker.resultListed('j', 0, { itemId: 'i', state: 'complete', text: completeTextOf('i') }, 4);
+    checker.resultListed('j', 0, { itemId: 'i', state: 'complete', text: completeTextOf('i') }, 5);
     checker.configurationAcknowledged(3, 0);
     checker.configurationRead(3, 'three', 10);
     t.deepEqual(promises(checker), []);
@@ -41,7 +41,7 @@
   test(title('reports responses that are truncated or belong to other requests'), (t) => {
     const checker = createChecker();
     checker.requestSent('q', { entry: 'entry-1', kind: 'resumable', atMs: 0 });
-    checker.requestEnded('q', { kind: 'complete', text: wholeText('other') }, 2);
+    checker.requestEnded('q', { kind: 'complete', text: completeTextOf('other') }, 2);
     t.deepEqual(promises(checker), ['whole own answers']);
   });
 
@@ -89,9 +89,9 @@
     const checker = createChecker();
     checker.jobSubmitted('j', ['a', 'b', 'c']);
     checker.jobAccepted('j', ['a', 'b', 'c']);
-    checker.resultListed('j', 0, { itemId: 'a', state: 'complete', text: wholeText('a') }, 1);
-    checker.resultListed('j', 0, { itemId: 'b', state: 'complete', text: wholeText('b') }, 2);
-    checker.resultListed('j', 1, { itemId: 'a', state: 'complete', text: wholeText('a') }, 3);
+    checker.resultListed('j', 0, { itemId: 'a', state: 'complete', text: completeTextOf('a') }, 1);
+    checker.resultListed('j', 0, { itemId: 'b', state: 'complete', text: completeTextOf('b') }, 2);
+    checker.resultListed('j', 1, { itemId: 'a', state: 'complete', text: completeTextOf('a') }, 3);
     checker.resultListed('j', 2, { itemId: 'b', state: 'complete', text: 'half' }, 4);
     checker.jobMissing('j', 5);
     t.deepEqual(promises(checker), [
--- a/packages/soak/src/promise-checker.ts
+++ b/packages/soak/src/promise-checker.ts
@@ -3,7 +3,7 @@
  * reports violations. Of the faults it only knows whether a span of time was undisturbed.
  */
 import { CrashingContents } from './crashing-contents.js';
-import { POISON_PREFIX, wholeText } from './expected.js';
+import { POISON_PREFIX, completeTextOf } from './expected-response.js';
 import type { TargetFilter } from './fault-plan.js';
 
 /** Whether and how a request may be retried. */
@@ -55,7 +55,7 @@
 }
 
 /** Time within which an acknowledged leave takes effect. */
-const APPLY_WITHIN_MS = 2500;
+const LEAVE_EFFECTIVE_WITHIN_MS = 2500;
 /** Time within which no item of a cancelled job is started any more. */
 const CANCEL_WITHIN_MS = 3000;
 
@@ -125,7 +125,7 @@
     record.outcome = outcome;
     record.endedAtMs = atMs;
     this.count(`requests ${outcome.kind}`);
-    if (outcome.kind === 'complete' && outcome.text !== wholeText(requestId)) {
+    if (outcome.kind === 'complete' && outcome.text !== completeTextOf(requestId)) {
       this.addViolation('whole own answers', atMs, `${requestId} got ${outcome.text.slice(0, 80)}`);
     }
     const hasRun = record.ranAtMs.length > 0;
@@ -165,7 +165,7 @@
     this.count('runs');
     const record = this.requests.get(requestId);
     const leftAtMs = this.leftAtMs.get(endpointId);
-    const isLate = leftAtMs !== undefined && atMs > leftAtMs + APPLY_WITHIN_MS;
+    const isLate = leftAtMs !== undefined && atMs > leftAtMs + LEAVE_EFFECTIVE_WITHIN_MS;
     const sender = record?.entry ?? 'entry';
     const isRelevant: TargetFilter = (target) =>
       target.startsWith(sender) || target.startsWith('control');
@@ -355,7 +355,7 @@
     const isCorrect = isPoison
       ? state === 'errored'
       : state === 'complete'
-        ? text === wholeText(itemId)
+        ? text === completeTextOf(itemId)
         : job.isCancelRequested;
     if (!isCorrect) {
       this.addViolation('results are whole', atMs, `${itemId} is ${state}: ${text.slice(0, 60)}`);
--- a/packages/soak/src/soak-load.ts
+++ b/packages/soak/src/soak-load.ts
@@ -5,7 +5,7 @@
 import { setTimeout as pause } from 'node:timers/promises';
 import { pick, seededRandom } from '@shedline/test-utils';
 import type { RandomSource } from '@shedline/test-utils';
-import { CRASHER_PREFIX, POISON_PREFIX } from './expected.js';
+import { CRASHER_PREFIX, POISON_PREFIX } from './expected-response.js';
 import { DISTINGUISHABLE_VERSIONS } from './fleet-adapter.js';
 import type { FleetAdapter, SoakCaller } from './fleet-adapter.js';
 import type { PromiseChecker, RequestKind } from './promise-checker.js';
