--- a/packages/entry/src/admission-controller.ts
+++ b/packages/entry/src/admission-controller.ts
@@ -1,5 +1,5 @@
 /**
- * Admission of online requests at one entry: the row's limits, then the overload gate.
+ * Admission of online requests at one entry: checks the limits of the row, then the overload gate.
  */
 import { OverloadGate, RetryBudget, RowLimits } from '@shedline/admission';
 import type { QuotaHolder } from '@shedline/admission';
@@ -17,7 +17,7 @@
   readonly nowMs: () => number;
 }
 
-/** Decides which online requests may run. */
+/** Admits or rejects online requests. */
 export class AdmissionController {
   readonly limits: RowLimits;
   private readonly fleet: FleetView;
@@ -33,7 +33,7 @@
     this.limits = new RowLimits(options.holder);
   }
 
-  /** Runs admitted work and counts how it ended; a refusal says that it did not run. */
+  /** Runs `work` if it is admitted and counts its outcome; a rejection has `ran: no`. */
   async run<T>(row: ServiceRow, isOpenSession: boolean, work: () => Promise<T>): Promise<T> {
     const service = rowKey(row.workspace, row.service);
     let outcome: RequestOutcome = 'refused';
@@ -46,30 +46,33 @@
       return result;
     } finally {
       release?.();
-      this.metrics.requestEnded(service, 'online', outcome);
+      this.metrics.recordRequestEnd(service, 'online', outcome);
     }
   }
 
-  /** Admits a request; throws a refusal that says that it did not run. Gives its release. */
+  /** Admits a request and returns the function that releases it; throws a rejection. */
   private admit(row: ServiceRow, isOpenSession: boolean, nowMs: number): () => void {
     const key = rowKey(row.workspace, row.service);
-    const limited = this.limits.admit(key, row.limits, nowMs);
-    if (!limited.admitted) {
+    const limitDecision = this.limits.admit(key, row.limits, nowMs);
+    if (!limitDecision.admitted) {
       throw new ShedlineError({
         type: 'limit_reached',
-        message: `the ${limited.limit} limit of ${key} is reached; come back later`,
+        message: `the ${limitDecision.limit} limit of ${key} is reached; retry later`,
         step: 'admit',
         peer: key,
         ran: 'no',
-        retryAfterMs: limited.retryAfterMs,
+        retryAfterMs: limitDecision.retryAfterMs,
       });
     }
     const gate = this.gateOf(row);
     const pressure = this.fleet.pressure(row, nowMs);
-    const answer = gate.decide({ row: key, weight: row.weight, isOpenSession, ...pressure }, nowMs);
-    if (!answer.admitted) {
+    const gateDecision = gate.decide(
+      { row: key, weight: row.weight, isOpenSession, ...pressure },
+      nowMs,
+    );
+    if (!gateDecision.admitted) {
       this.limits.finished(key);
-      throw overloaded(key, answer.retryAfterMs, pressure.capacity);
+      throw overloaded(key, gateDecision.retryAfterMs, pressure.capacity);
     }
     this.budgetOf(key).requested();
     return () => {
@@ -78,13 +81,13 @@
     };
   }
 
-  /** Charges the tokens of an answer. */
+  /** Charges the tokens of a response to the limits of the service. */
   charge(service: string, usedTokens: number, generatedTokens: number): void {
     this.limits.chargeTokens(service, usedTokens);
-    this.metrics.generated(service, 'online', generatedTokens);
+    this.metrics.recordTokens(service, 'online', generatedTokens);
   }
 
-  /** The retry budget of a service. */
+  /** Returns the retry budget of a service. */
   budgetOf(key: string): RetryBudget {
     const known = this.budgets.get(key);
     if (known !== undefined) return known;
@@ -93,7 +96,7 @@
     return budget;
   }
 
-  /** Rows that share their endpoints share a gate. */
+  /** Returns the overload gate of a row; rows with the same endpoints share a gate. */
   private gateOf(row: ServiceRow): OverloadGate {
     const pool = row.kind === 'plain' ? rowKey(row.workspace, row.service) : row.models.join(',');
     const known = this.gates.get(pool);
@@ -105,12 +108,12 @@
 }
 
 function overloaded(key: string, retryAfterMs: number, capacity: number): ShedlineError {
-  const none = capacity === 0;
+  const hasNoEndpoint = capacity === 0;
   return new ShedlineError({
-    type: none ? 'unavailable' : 'overloaded',
-    message: none
-      ? `no endpoint of ${key} is up; come back later`
-      : `all endpoints of ${key} are busy; come back later`,
+    type: hasNoEndpoint ? 'unavailable' : 'overloaded',
+    message: hasNoEndpoint
+      ? `no endpoint of ${key} is available; retry later`
+      : `all endpoints of ${key} are busy; retry later`,
     step: 'admit',
     peer: key,
     ran: 'no',
--- a/packages/entry/src/auth.ts
+++ b/packages/entry/src/auth.ts
@@ -1,22 +1,22 @@
 /**
- * Bearer tokens: stored hashed, compared in constant time.
+ * Authentication by bearer tokens, which are stored as hashes and compared in constant time.
  */
 import { timingSafeEqual } from 'node:crypto';
 import { ShedlineError } from '@shedline/errors';
 import type { TokenSettings } from '@shedline/config';
 import { sha256Hex } from '@shedline/types';
 
-/** What a token may do. */
+/** Role that a token grants. */
 export type AuthRole = TokenSettings['role'];
 
-/** Who sends a request. */
+/** Roles and workspace of the sender of a request. */
 export interface Identity {
   readonly roles: readonly AuthRole[];
-  /** Workspace of a caller. */
+  /** Workspace of the `caller` role; undefined if the sender has no such role. */
   readonly workspace: string | undefined;
 }
 
-/** Tells who sends a request. */
+/** Identifies the senders of requests. */
 export class Authenticator {
   private readonly tokens: readonly TokenSettings[];
 
@@ -24,8 +24,8 @@
     this.tokens = tokens;
   }
 
-  /** The sender, by the Authorization header; throws where the role is missing. */
-  require(header: string | undefined, role: AuthRole): Identity {
+  /** Returns the sender named by the Authorization header; throws if it lacks the role. */
+  requireRole(header: string | undefined, role: AuthRole): Identity {
     const identity = this.identify(header);
     if (identity === undefined) {
       const message = 'send a valid token as Authorization: Bearer TOKEN';
@@ -43,9 +43,9 @@
     return identity;
   }
 
-  /** The caller and its workspace. */
+  /** Returns the workspace of the caller; throws if the sender is not a caller. */
   requireCaller(header: string | undefined): string {
-    const { workspace } = this.require(header, 'caller');
+    const { workspace } = this.requireRole(header, 'caller');
     if (workspace !== undefined) return workspace;
     const message = 'this token belongs to no workspace';
     throw new ShedlineError({ type: 'unauthorized', message, step: 'authorize', peer: 'caller' });
@@ -55,12 +55,12 @@
     const token = /^Bearer (\S+)$/i.exec(header ?? '')?.[1];
     if (token === undefined) return undefined;
     const given = Buffer.from(sha256Hex(token));
-    // Every stored token is compared, so that the time tells nothing about which one fits.
-    const fitting = this.tokens.filter((known) =>
+    // Compares every stored token, so that the time taken does not reveal which one matches.
+    const matching = this.tokens.filter((known) =>
       timingSafeEqual(Buffer.from(known.tokenSha256), given),
     );
-    if (fitting.length === 0) return undefined;
-    const workspace = fitting.find((known) => known.role === 'caller')?.workspace;
-    return { roles: fitting.map((known) => known.role), workspace };
+    if (matching.length === 0) return undefined;
+    const workspace = matching.find((known) => known.role === 'caller')?.workspace;
+    return { roles: matching.map((known) => known.role), workspace };
   }
 }
--- a/packages/entry/src/batch-runner.ts
+++ b/packages/entry/src/batch-runner.ts
@@ -1,6 +1,6 @@
 /**
- * Runs batch items on the endpoints that this entry owns, in the room that online work
- * leaves, and stops them at once when online work comes.
+ * Runs batch items on the endpoints that this entry owns, in the capacity that online work leaves
+ * free, and stops them immediately when online work arrives.
  */
 import { setTimeout as pause } from 'node:timers/promises';
 import { BatchHeadroom, BatchOwnership, chooseStreamsToStop } from '@shedline/batch';
@@ -20,22 +20,26 @@
 import type { ServiceCalls } from './service-calls.js';
 import { WorkSource } from './work-source.js';
 
-const TICK_MS = 20;
-/** Time between two looks while there is nothing to run and nothing waits. */
-const IDLE_TICK_MS = 100;
+const TICK_INTERVAL_MS = 20;
+/** Interval of ticks while no item runs or waits. */
+const IDLE_TICK_INTERVAL_MS = 100;
 const OWNERSHIP_INTERVAL_MS = 500;
 const RENEW_INTERVAL_MS = 1500;
-/** Less than the lease of the store, so that streams stop before their items go to others. */
-const LEASE_TRUST_MS = 4500;
-const MAX_WAIT_HERE_MS = 3000;
-/** Slots on plain services, which have no engine to protect. */
-const PLAIN_SLOTS = 8;
+/**
+ * Time for which an unrenewed lease is considered valid. It is shorter than the lease in the store,
+ * so that streams stop before their items are granted to other entries.
+ */
+const LEASE_VALIDITY_MS = 4500;
+/** Time after which an item that finds no free slot is returned to its job. */
+const MAX_QUEUED_MS = 3000;
+/** Slots of a plain service; it has no engine whose online latency must be protected. */
+const PLAIN_SERVICE_SLOTS = 8;
 
 /** Options of {@link BatchRunner}. */
 export interface BatchRunnerOptions {
-  /** Name of the entry, by which entries share out the endpoints. */
+  /** Name of the entry, by which the ownership of endpoints is assigned. */
   readonly entry: string;
-  /** Name of this process as a holder of leases; differs after a restart. */
+  /** Name of this process as a lease holder; changes with every restart. */
   readonly leaseOwner: string;
   readonly control: ControlClient;
   readonly fleet: FleetView;
@@ -44,10 +48,11 @@
   readonly logger: Logger;
   readonly burn: BurnRecorder;
   readonly metrics: EntryMetrics;
+  /** 0 protects online latency most, 1 favours batch throughput most. */
   readonly dial: number;
   readonly random: () => number;
   readonly nowMs: () => number;
-  /** Live entries that share the endpoints of this one. */
+  /** Returns the live entries that share the endpoints of this one. */
   readonly liveEntries: () => readonly string[];
   readonly nextRequestId: () => string;
 }
@@ -62,7 +67,7 @@
   tokens: number;
 }
 
-/** The batch side of one entry. */
+/** Runs the batch work of one entry. */
 export class BatchRunner {
   private readonly options: BatchRunnerOptions;
   private readonly ownership: BatchOwnership;
@@ -85,8 +90,8 @@
     this.source = new WorkSource({
       ...options,
       entryCount: () => options.liveEntries().length,
-      onLease: (group, lease, askedAtMs) => {
-        this.held.add(group, [lease], askedAtMs);
+      onLease: (group, lease, requestedAtMs) => {
+        this.held.add(group, [lease], requestedAtMs);
       },
       onNotStarted: (group, jobId, indexes) => {
         for (const index of indexes) {
@@ -97,14 +102,14 @@
     });
   }
 
-  /** Batch streams that run now. */
+  /** Number of running batch streams. */
   get running(): number {
     return this.streams.size;
   }
 
-  /** Begins. */
+  /** Starts the loops and timers. */
   start(): void {
-    void this.tickForever();
+    void this.runTickLoop();
     this.every(OWNERSHIP_INTERVAL_MS, () => {
       this.updateOwnership();
     });
@@ -114,39 +119,42 @@
     this.every(1000, () => {
       this.source.updateRates();
     });
-    void this.askForever();
+    void this.runRequestLoop();
   }
 
-  /** Owner of the batch work on an endpoint. */
+  /** Returns the entry that owns the batch work on an endpoint. */
   ownerOf(endpointId: string): string | undefined {
     return this.ownership.ownerOf(endpointId);
   }
 
-  /** Makes batch work on an endpoint fit beside its online work, now. */
-  yieldAt(endpointId: string): void {
+  /** Stops batch streams on an endpoint that exceed the capacity left by its online work. */
+  yieldToOnline(endpointId: string): void {
     const streams = this.streamsAt(endpointId);
     if (streams.length === 0) return;
-    const allowed = this.allowanceAt(endpointId);
+    const allowed = this.allowedStreamsAt(endpointId);
     for (const stream of chooseStreamsToStop(streams, allowed)) {
       this.streams.get(stream.streamId)?.abort.abort();
     }
   }
 
-  /** Hands back what has not begun, lets running items end or stop, and commits them. */
+  /**
+   * Returns the items that have not started, stops idempotent running items, waits for the others
+   * to finish, and commits the results.
+   */
   async drain(timeoutMs: number): Promise<void> {
     this.draining = true;
-    for (const held of this.held.takeAll()) this.handBack(held, 'planned stop');
+    for (const held of this.held.takeAllWaiting()) this.returnUnfinished(held, 'planned stop');
     for (const stream of this.streams.values()) {
       if (stream.stoppable) stream.abort.abort();
     }
     const deadlineMs = this.options.nowMs() + timeoutMs;
     while (this.streams.size + this.committer.pending > 0 && this.options.nowMs() < deadlineMs) {
-      await pause(TICK_MS);
+      await pause(TICK_INTERVAL_MS);
     }
     this.stop();
   }
 
-  /** Ends at once. */
+  /** Stops immediately, without committing. */
   stop(): void {
     this.draining = true;
     for (const timer of this.timers) clearInterval(timer);
@@ -167,29 +175,29 @@
     this.ownership.update(ids, () => liveEntries, nowMs);
   }
 
-  private async tickForever(): Promise<void> {
+  private async runTickLoop(): Promise<void> {
     while (!this.draining) {
       this.tick();
-      await pause(this.pauseMs());
+      await pause(this.tickIntervalMs());
     }
   }
 
-  private pauseMs(): number {
-    const idle = this.streams.size + this.held.waitingCount === 0 && !this.source.hasWork;
-    return idle ? IDLE_TICK_MS : TICK_MS;
+  private tickIntervalMs(): number {
+    const isIdle = this.streams.size + this.held.waitingCount === 0 && !this.source.hasWork;
+    return isIdle ? IDLE_TICK_INTERVAL_MS : TICK_INTERVAL_MS;
   }
 
   private tick(): void {
     const nowMs = this.options.nowMs();
-    for (const held of this.held.takeOverdue(nowMs - MAX_WAIT_HERE_MS)) {
-      this.handBack(held, 'no room');
+    for (const held of this.held.takeOverdue(nowMs - MAX_QUEUED_MS)) {
+      this.returnUnfinished(held, 'no room');
     }
     for (const endpoint of this.ownedEndpoints(nowMs)) {
       const { endpointId } = endpoint.announcement;
-      this.yieldAt(endpointId);
-      this.fill(endpoint);
+      this.yieldToOnline(endpointId);
+      this.startStreams(endpoint);
     }
-    this.options.metrics.setOpen('batch', this.streams.size);
+    this.options.metrics.setOpenRequests('batch', this.streams.size);
   }
 
   private ownedEndpoints(nowMs: number): KnownEndpoint[] {
@@ -204,11 +212,11 @@
     return [...this.streams.values()].filter((stream) => stream.endpointId === endpointId);
   }
 
-  private allowanceAt(endpointId: string): number {
+  private allowedStreamsAt(endpointId: string): number {
     const { fleet, nowMs, dial } = this.options;
     const endpoint = fleet.endpoints.get(endpointId);
     if (endpoint === undefined) return 0;
-    if (endpoint.announcement.kind === 'plain') return PLAIN_SLOTS;
+    if (endpoint.announcement.kind === 'plain') return PLAIN_SERVICE_SLOTS;
     let headroom = this.headrooms.get(endpointId);
     if (headroom === undefined) {
       headroom = new BatchHeadroom({ dial });
@@ -217,9 +225,9 @@
     const now = nowMs();
     const row = this.rowsFor(endpoint)[0];
     if (row === undefined) return 0;
-    const learnt = fleet.limitOf(endpointId, row).value;
+    const learnedLimit = fleet.limitOf(endpointId, row).value;
     const online = Math.round(fleet.loads.online(endpointId, now, false));
-    const capacity = Math.min(learnt, endpoint.announcement.load.capacity);
+    const capacity = Math.min(learnedLimit, endpoint.announcement.load.capacity);
     return headroom.allowance({ online, capacity, ...row.batch }, now);
   }
 
@@ -232,21 +240,21 @@
     );
   }
 
-  private fill(endpoint: KnownEndpoint): void {
+  private startStreams(endpoint: KnownEndpoint): void {
     const { endpointId } = endpoint.announcement;
-    const allowed = this.allowanceAt(endpointId);
+    const allowed = this.allowedStreamsAt(endpointId);
     let running = this.streamsAt(endpointId);
     while (running.length < allowed) {
       if (running.some((stream) => stream.held.item.alone)) return;
       const isEmpty = running.length === 0;
-      const held = this.held.take((item) => this.fits(item, endpoint, isEmpty));
+      const held = this.held.takeFirst((item) => this.canRun(item, endpoint, isEmpty));
       if (held === undefined) return;
-      this.launch(held, endpoint);
+      this.startStream(held, endpoint);
       running = this.streamsAt(endpointId);
     }
   }
 
-  private fits(held: HeldItem, endpoint: KnownEndpoint, isEmpty: boolean): boolean {
+  private canRun(held: HeldItem, endpoint: KnownEndpoint, isEmpty: boolean): boolean {
     if (held.item.alone && !isEmpty) return false;
     const row = this.options.fleet.table.row(held.row);
     if (row === undefined) return false;
@@ -255,7 +263,7 @@
     return row.models.some((model) => models.includes(model));
   }
 
-  private launch(held: HeldItem, endpoint: KnownEndpoint): void {
+  private startStream(held: HeldItem, endpoint: KnownEndpoint): void {
     const { fleet, nowMs, nextRequestId } = this.options;
     const { endpointId } = endpoint.announcement;
     const stream: Stream = {
@@ -296,21 +304,21 @@
           stream.tokens += 1;
         },
       });
-      this.settle(stream, outcome, nowMs());
+      this.handleOutcome(stream, outcome, nowMs());
     } catch (error) {
       const reason = error instanceof Error ? error.message : String(error);
-      const known = held.lease.idempotent ? 'retryable' : 'endpointLost';
-      this.returnItem(held, known, reason);
+      const returnReason = held.lease.idempotent ? 'retryable' : 'endpointLost';
+      this.returnItem(held, returnReason, reason);
     }
   }
 
-  private settle(stream: Stream, outcome: ItemRunOutcome, nowMs: number): void {
+  private handleOutcome(stream: Stream, outcome: ItemRunOutcome, nowMs: number): void {
     const { held } = stream;
     const { burn, metrics, fleet } = this.options;
-    metrics.generated(held.row, 'batch', stream.tokens);
+    metrics.recordTokens(held.row, 'batch', stream.tokens);
     if (outcome.kind === 'stopped') {
-      if (this.draining) this.handBack(held, 'yielded at a planned stop');
-      else this.held.putBack(held);
+      if (this.draining) this.returnUnfinished(held, 'yielded at a planned stop');
+      else this.held.requeue(held);
       return;
     }
     if (outcome.kind === 'return') {
@@ -322,15 +330,15 @@
     this.committer.addResult(held.group, outcome.result);
     this.source.itemEnded(held.row);
     burn.record(held.row, 'batchDue', Date.now() <= held.lease.dueAtMs, nowMs);
-    metrics.requestEnded(
+    metrics.recordRequestEnd(
       held.row,
       'batch',
       outcome.result.outcome === 'completed' ? 'completed' : 'failed',
     );
   }
 
-  private handBack(held: HeldItem, cause: string): void {
-    // A non-idempotent item that the log has as started, but that was never sent.
+  private returnUnfinished(held: HeldItem, cause: string): void {
+    // A non-idempotent item is recorded as started in the log, but was never sent.
     const reason = held.lease.idempotent ? 'yielded' : 'notRun';
     this.returnItem(held, reason, cause);
   }
@@ -348,31 +356,32 @@
 
   private async renewLeases(): Promise<void> {
     const { control, leaseOwner, nowMs } = this.options;
-    const askedAtMs = nowMs();
+    const requestedAtMs = nowMs();
     const renewals = [...this.held.leasesByGroup()].map(async ([group, leaseIds]) => {
       try {
         const closed = await control.renew(group, leaseOwner, leaseIds);
-        this.held.renewed(group, leaseIds, closed, askedAtMs);
+        this.held.recordRenewal(group, leaseIds, closed, requestedAtMs);
       } catch {
-        // Leases that stay without renewal are given up below.
+        // Leases that are not renewed in time are dropped below.
       }
     });
     await Promise.all(renewals);
-    this.held.dropSilent(nowMs() - LEASE_TRUST_MS);
+    this.held.dropExpired(nowMs() - LEASE_VALIDITY_MS);
     for (const stream of this.streams.values()) {
-      // A stream of an item that is no longer ours is wasted, unless only its answer can tell.
+      // The result of an item that is no longer leased is wasted, so its stream is stopped. Streams
+      // of non-idempotent items continue, because only the response shows whether the item ran.
       if (!this.held.isOpen(stream.held) && stream.stoppable) stream.abort.abort();
     }
   }
 
-  private async askForever(): Promise<void> {
+  private async runRequestLoop(): Promise<void> {
     while (!this.draining) {
       const slots = this.freeSlots(this.options.nowMs());
       if (slots.length > 0) {
-        await this.source.look();
-        await this.source.ask(slots, this.held.waitingCount);
+        await this.source.poll();
+        await this.source.requestItems(slots, this.held.waitingCount);
       }
-      await pause(this.pauseMs());
+      await pause(this.tickIntervalMs());
     }
   }
 
@@ -381,10 +390,10 @@
     const byModel = new Map<string, number>();
     for (const endpoint of this.ownedEndpoints(nowMs)) {
       const { endpointId, models, services } = endpoint.announcement;
-      const free = this.allowanceAt(endpointId) - this.streamsAt(endpointId).length;
+      const free = this.allowedStreamsAt(endpointId) - this.streamsAt(endpointId).length;
       const names = endpoint.announcement.kind === 'plain' ? services : models;
-      const first = names[0];
-      if (free > 0 && first !== undefined) byModel.set(first, (byModel.get(first) ?? 0) + free);
+      const name = names[0];
+      if (free > 0 && name !== undefined) byModel.set(name, (byModel.get(name) ?? 0) + free);
     }
     return [...byModel].map(([model, slots]) => ({ model, slots }));
   }
--- a/packages/entry/src/call-claimer.ts
+++ b/packages/entry/src/call-claimer.ts
@@ -1,13 +1,13 @@
 /**
- * Runs a non-idempotent call at most once: its key is claimed in the durable state before the
- * one send, and its answer is recorded before the caller gets it.
+ * Runs a non-idempotent call at most once: its idempotency key is claimed durably before the only
+ * attempt, and the response is recorded before it is returned to the caller.
  */
 import { randomUUID } from 'node:crypto';
 import type { ControlClient } from '@shedline/control-client';
 import { ShedlineError, toShedlineError } from '@shedline/errors';
 import type { ClaimAnswer } from '@shedline/jobs';
 
-/** An answer as it is recorded. */
+/** A recorded response. */
 export interface RecordedAnswer {
   readonly status: number;
   readonly contentType: string;
@@ -19,18 +19,18 @@
   readonly workspace: string;
   readonly service: string;
   readonly key: string;
-  /** Tells a resend from another call under the same key. */
+  /** Distinguishes a retry from a different request with the same key. */
   readonly requestHash: string;
   readonly deadlineMs: number;
-  /** Runs the call; an error with `ran: no` gives the key free again. */
+  /** Runs the call; an error with `ran: no` releases the key. */
   readonly run: () => Promise<RecordedAnswer>;
 }
 
 const IN_PROGRESS_RETRY_MS = 500;
-/** Largest answer that is kept for resends. */
+/** Maximum size of a response that is recorded for retries. */
 const MAX_RECORDED_BYTES = 1024 * 1024;
 
-/** Claims keys in the durable state. */
+/** Claims idempotency keys in the durable state. */
 export class CallClaimer {
   private readonly control: ControlClient;
 
@@ -38,7 +38,7 @@
     this.control = control;
   }
 
-  /** Runs the call, or gives the answer recorded for its key. */
+  /** Runs the call, or returns the response recorded for its key. */
   async runOnce(call: ClaimedCall): Promise<RecordedAnswer> {
     const key = JSON.stringify([call.workspace, call.service, call.key]);
     const group = await this.control.groupOfKey(key);
@@ -55,31 +55,31 @@
       return { status, contentType, body: Buffer.from(body) };
     }
     if (claim.claim !== 'granted') throw claimRefused(claim.claim, call.key);
-    return this.runGranted(call, group, key, claimId);
+    return this.runClaimed(call, group, key, claimId);
   }
 
-  private async runGranted(
+  private async runClaimed(
     call: ClaimedCall,
     group: number,
     key: string,
     claimId: string,
   ): Promise<RecordedAnswer> {
     const finish = { type: 'finishCall', key, claimId } as const;
-    const nothing = { status: 0, contentType: '', body: new Uint8Array(0) };
+    const noResponse = { status: 0, contentType: '', body: new Uint8Array(0) };
     try {
-      const answer = await call.run();
-      // An answer too large to keep is the caller's, but a resend can only be told of doubt.
-      const isKept = answer.body.length <= MAX_RECORDED_BYTES;
-      const end = isKept
-        ? ({ outcome: 'recorded', ...answer } as const)
-        : ({ outcome: 'inDoubt', ...nothing } as const);
+      const response = await call.run();
+      // A response that is too large to record is returned, but a retry gets `in_doubt`.
+      const isRecordable = response.body.length <= MAX_RECORDED_BYTES;
+      const end = isRecordable
+        ? ({ outcome: 'recorded', ...response } as const)
+        : ({ outcome: 'inDoubt', ...noResponse } as const);
       await this.control.proposeJob(group, { ...finish, ...end });
-      return answer;
+      return response;
     } catch (error) {
       const failure = toShedlineError(error, { step: 'call', peer: call.service, ran: 'unknown' });
       const outcome = failure.ran === 'no' ? 'notRun' : 'inDoubt';
       await this.control
-        .proposeJob(group, { ...finish, outcome, ...nothing })
+        .proposeJob(group, { ...finish, outcome, ...noResponse })
         .catch(() => undefined);
       throw failure;
     }
@@ -93,7 +93,7 @@
     return new ShedlineError({ type: 'conflict', message, ran: 'no', ...common });
   }
   if (claim === 'inProgress') {
-    const message = `the call with Idempotency-Key ${key} is still in progress; ask again soon`;
+    const message = `the call with Idempotency-Key ${key} is still in progress; retry later`;
     const retryAfterMs = IN_PROGRESS_RETRY_MS;
     return new ShedlineError({
       type: 'in_progress',
@@ -104,7 +104,7 @@
     });
   }
   const message =
-    `it is not known whether the call with Idempotency-Key ${key} ran; it will not be sent ` +
-    'again. Check at the service, and use a new key to call again';
+    `it is unknown whether the call with Idempotency-Key ${key} ran; it will not be sent ` +
+    'again. Check the state of the service, and use a new key to repeat the call';
   return new ShedlineError({ type: 'in_doubt', message, ran: 'unknown', ...common });
 }
--- a/packages/entry/src/completions.ts
+++ b/packages/entry/src/completions.ts
@@ -29,38 +29,38 @@
   max_tokens: z.number().int().positive().nullish(),
   max_completion_tokens: z.number().int().positive().nullish(),
   stream_options: z.looseObject({ include_usage: z.boolean().optional() }).nullish(),
-  n: z.literal(1, 'only one choice can be asked for').nullish(),
+  n: z.literal(1, 'only one choice is supported').nullish(),
 });
 
 /** The body of a generation request. */
 export type CompletionBody = z.infer<typeof bodySchema>;
 
-type Path = OnlineRequest['path'];
+type CompletionPath = OnlineRequest['path'];
 
-/** Bytes of an answer that a caller may leave unread. */
+/** Maximum number of response bytes buffered for a caller that reads slowly. */
 const MAX_UNREAD_BYTES = 4 * 1024 * 1024;
-const CALLER_GONE = new Error('the caller went away');
+const CALLER_DISCONNECTED = new Error('the caller disconnected');
 
-/** What the handlers need. */
+/** Options of {@link Completions}. */
 export interface CompletionsOptions {
   readonly context: OnlineContext;
   readonly claimer: CallClaimer;
   readonly sessionSecret: string;
   readonly maxBodyBytes: number;
   readonly nextRequestId: () => string;
-  /** Refuses work that the entry may not take now. */
+  /** Throws if the entry may not accept work now. */
   readonly checkServing: () => void;
 }
 
-interface Prepared {
+interface PreparedCompletion {
   readonly body: CompletionBody;
   readonly row: ServiceRow;
   readonly session: Session | undefined;
   readonly request: Omit<OnlineRequest, 'onToken' | 'signal'>;
-  readonly path: Path;
+  readonly path: CompletionPath;
 }
 
-/** Text that the engine sees as the prompt, for prefixes. */
+/** Returns the prompt as text, from which the prefix hashes are computed. */
 export function promptText(body: CompletionBody): string {
   if (body.messages === undefined) return body.prompt ?? '';
   const parts = body.messages.map((message) => {
@@ -70,20 +70,20 @@
   return parts.join('\n');
 }
 
-/** Checks the body of a generation request. */
-export function checkCompletionBody(body: CompletionBody, path: Path): void {
+/** Throws if the body lacks the field that its path requires. */
+export function checkCompletionBody(body: CompletionBody, path: CompletionPath): void {
   if (path === '/v1/chat/completions' && body.messages === undefined) {
-    throw invalid('messages: must be given');
+    throw invalid('messages: required');
   }
   if (path === '/v1/completions' && body.prompt === undefined) {
-    throw invalid('prompt: must be given');
+    throw invalid('prompt: required');
   }
 }
 
 /** The schema of the body of a generation request. */
 export { bodySchema as completionBodySchema };
 
-/** Handlers of online generation. */
+/** Handles requests for online generation. */
 export class Completions {
   private readonly options: CompletionsOptions;
 
@@ -91,24 +91,29 @@
     this.options = options;
   }
 
-  /** Answers one request. */
-  async handle(c: EntryHttpContext, workspace: string, path: Path): Promise<Response> {
+  /** Handles one request. */
+  async handle(c: EntryHttpContext, workspace: string, path: CompletionPath): Promise<Response> {
     const prepared = await this.prepare(c, workspace, path);
     const { outgoing } = c.env;
     const abort = new AbortController();
     outgoing.on('close', () => {
-      if (!outgoing.writableFinished) abort.abort(CALLER_GONE);
+      if (!outgoing.writableFinished) abort.abort(CALLER_DISCONNECTED);
     });
     const key = c.req.header('idempotency-key');
     if (!prepared.request.idempotent && key !== undefined) {
-      return this.answerClaimed(outgoing, prepared, key, abort.signal);
+      return this.respondClaimed(outgoing, prepared, key, abort.signal);
     }
-    if (prepared.body.stream === true) await this.stream(outgoing, prepared, abort.signal);
-    else await this.whole(outgoing, prepared, abort.signal);
+    if (prepared.body.stream === true)
+      await this.respondWithStream(outgoing, prepared, abort.signal);
+    else await this.respondInFull(outgoing, prepared, abort.signal);
     return RESPONSE_ALREADY_SENT;
   }
 
-  private async prepare(c: EntryHttpContext, workspace: string, path: Path): Promise<Prepared> {
+  private async prepare(
+    c: EntryHttpContext,
+    workspace: string,
+    path: CompletionPath,
+  ): Promise<PreparedCompletion> {
     const body = await readJson(c, bodySchema, this.options.maxBodyBytes);
     checkCompletionBody(body, path);
     this.options.checkServing();
@@ -131,12 +136,12 @@
   private async findRow(name: string, workspace: string): Promise<ServiceRow> {
     const parts = name.split('/');
     const service = parts.at(-1) ?? '';
-    const named = parts.length > 1 ? parts[0] : workspace;
+    const namedWorkspace = parts.length > 1 ? parts[0] : workspace;
     const row = await this.options.context.reader.row(`${workspace}/${service}`);
-    if (row?.kind === 'engine' && named === workspace) return row;
+    if (row?.kind === 'engine' && namedWorkspace === workspace) return row;
     throw notFound(
-      `there is no generating service ${name}; name it as model "${workspace}/SERVICE" ` +
-        `or by the header ${SERVICE_HEADER}`,
+      `there is no generation service ${name}; set model to "${workspace}/SERVICE" ` +
+        `or use the header ${SERVICE_HEADER}`,
     );
   }
 
@@ -148,7 +153,7 @@
   }
 
   private run(
-    prepared: Prepared,
+    prepared: PreparedCompletion,
     signal: AbortSignal,
     onToken: (text: string) => void,
   ): Promise<OnlineAnswer> {
@@ -157,36 +162,39 @@
     return context.admission.run(prepared.row, prepared.session !== undefined, () => run.run());
   }
 
-  private async stream(
+  private async respondWithStream(
     outgoing: ServerResponse,
-    prepared: Prepared,
+    prepared: PreparedCompletion,
     signal: AbortSignal,
   ): Promise<void> {
     const writer = new StreamWriter(outgoing, prepared);
     try {
       const answer = await this.run(prepared, signal, (text) => {
-        writer.token(text);
+        writer.writeToken(text);
       });
       writer.end(answer);
     } catch (error) {
       const failure = toShedlineError(error, { step: 'generate', ran: 'unknown' });
-      if (!writer.fail(failure)) throw failure;
+      if (!writer.writeError(failure)) throw failure;
     }
   }
 
-  private async whole(
+  private async respondInFull(
     outgoing: ServerResponse,
-    prepared: Prepared,
+    prepared: PreparedCompletion,
     signal: AbortSignal,
   ): Promise<void> {
     const answer = await this.run(prepared, signal, () => undefined);
-    sendJson(outgoing, wholeBody(prepared, answer));
+    sendJson(outgoing, fullBody(prepared, answer));
   }
 
-  /** A non-idempotent call with a key: claimed before its one send, answered from the record. */
-  private async answerClaimed(
+  /**
+   * Handles a non-idempotent request with an idempotency key: the key is claimed before the only
+   * attempt, and the response is sent from the record.
+   */
+  private async respondClaimed(
     outgoing: ServerResponse,
-    prepared: Prepared,
+    prepared: PreparedCompletion,
     key: string,
     signal: AbortSignal,
   ): Promise<Response> {
@@ -199,12 +207,12 @@
       deadlineMs: prepared.request.deadlineMs,
       run: async () => {
         const answer = await this.run(prepared, signal, () => undefined);
-        const body = Buffer.from(JSON.stringify(wholeBody(prepared, answer)));
+        const body = Buffer.from(JSON.stringify(fullBody(prepared, answer)));
         return { status: 200, contentType: 'application/json', body };
       },
     });
     if (prepared.body.stream === true) {
-      streamRecorded(outgoing, prepared, recorded.body);
+      streamRecordedAnswer(outgoing, prepared, recorded.body);
     } else {
       outgoing.writeHead(recorded.status, { 'content-type': recorded.contentType });
       outgoing.end(recorded.body);
@@ -213,70 +221,71 @@
   }
 }
 
-/** Writes one streamed answer to the caller. */
+/** Writes one streamed response to the caller. */
 class StreamWriter {
   private readonly outgoing: ServerResponse;
-  private readonly prepared: Prepared;
-  private readonly head: string;
-  private started = false;
+  private readonly prepared: PreparedCompletion;
+  private readonly commonFields: string;
+  private isStarted = false;
 
-  constructor(outgoing: ServerResponse, prepared: Prepared) {
+  constructor(outgoing: ServerResponse, prepared: PreparedCompletion) {
     this.outgoing = outgoing;
     this.prepared = prepared;
-    this.head = JSON.stringify(answerBase(prepared, true)).slice(0, -1);
+    this.commonFields = JSON.stringify(baseFields(prepared, true)).slice(0, -1);
   }
 
-  /** Sends one token. */
-  token(text: string): void {
-    const isFirst = !this.started;
-    if (isFirst) this.begin();
+  writeToken(text: string): void {
+    const isFirst = !this.isStarted;
+    if (isFirst) this.start();
     const isChat = this.prepared.path === '/v1/chat/completions';
     const quoted = JSON.stringify(text);
     const role = isFirst ? '"role":"assistant",' : '';
-    const piece = isChat ? `"delta":{${role}"content":${quoted}}` : `"text":${quoted}`;
-    this.event(`${this.head},"choices":[{"index":0,${piece},"finish_reason":null}]}`);
+    const delta = isChat ? `"delta":{${role}"content":${quoted}}` : `"text":${quoted}`;
+    this.writeEvent(`${this.commonFields},"choices":[{"index":0,${delta},"finish_reason":null}]}`);
   }
 
-  /** Sends the end of a whole answer. */
+  /** Ends a complete response with the finish reason and, if requested, the usage. */
   end(answer: OnlineAnswer): void {
-    if (!this.started) this.begin();
+    if (!this.isStarted) this.start();
     const isChat = this.prepared.path === '/v1/chat/completions';
-    const piece = isChat ? '"delta":{}' : '"text":""';
+    const delta = isChat ? '"delta":{}' : '"text":""';
     const reason = JSON.stringify(answer.finishReason);
-    this.event(`${this.head},"choices":[{"index":0,${piece},"finish_reason":${reason}}]}`);
+    this.writeEvent(
+      `${this.commonFields},"choices":[{"index":0,${delta},"finish_reason":${reason}}]}`,
+    );
     const wantsUsage = this.prepared.body.stream_options?.include_usage === true;
     if (wantsUsage && answer.usage !== undefined) {
-      this.event(`${this.head},"choices":[],"usage":${JSON.stringify(answer.usage)}}`);
+      this.writeEvent(`${this.commonFields},"choices":[],"usage":${JSON.stringify(answer.usage)}}`);
     }
     this.outgoing.end('data: [DONE]\n\n');
   }
 
-  /** Tells of a failure within the stream; false where the stream has not begun. */
-  fail(error: ShedlineError): boolean {
-    if (!this.started) return false;
-    this.event(JSON.stringify({ error: error.toBody() }));
+  /** Writes an error into the stream and ends it; returns false if the stream has not started. */
+  writeError(error: ShedlineError): boolean {
+    if (!this.isStarted) return false;
+    this.writeEvent(JSON.stringify({ error: error.toBody() }));
     this.outgoing.end();
     return true;
   }
 
-  private begin(): void {
-    this.started = true;
+  private start(): void {
+    this.isStarted = true;
     this.outgoing.writeHead(200, {
       'content-type': 'text/event-stream; charset=utf-8',
       'cache-control': 'no-cache',
     });
   }
 
-  private event(data: string): void {
+  private writeEvent(data: string): void {
     this.outgoing.write(`data: ${data}\n\n`);
-    // A caller that does not read must not fill the memory of the entry.
+    // Bounds the memory used by a caller that does not read.
     if (this.outgoing.writableLength > MAX_UNREAD_BYTES) this.outgoing.destroy();
   }
 }
 
-function answerBase(prepared: Prepared, streamed: boolean): Record<string, unknown> {
+function baseFields(prepared: PreparedCompletion, isStream: boolean): Record<string, unknown> {
   const isChat = prepared.path === '/v1/chat/completions';
-  const chatObject = streamed ? 'chat.completion.chunk' : 'chat.completion';
+  const chatObject = isStream ? 'chat.completion.chunk' : 'chat.completion';
   return {
     id: `${isChat ? 'chatcmpl' : 'cmpl'}-${prepared.request.requestId}`,
     object: isChat ? chatObject : 'text_completion',
@@ -285,12 +294,12 @@
   };
 }
 
-function wholeBody(prepared: Prepared, answer: OnlineAnswer): Record<string, unknown> {
+function fullBody(prepared: PreparedCompletion, answer: OnlineAnswer): Record<string, unknown> {
   const text = answer.tokens.join('');
   const isChat = prepared.path === '/v1/chat/completions';
   const content = isChat ? { message: { role: 'assistant', content: text } } : { text };
   const choice = { index: 0, ...content, finish_reason: answer.finishReason };
-  return { ...answerBase(prepared, false), choices: [choice], usage: answer.usage };
+  return { ...baseFields(prepared, false), choices: [choice], usage: answer.usage };
 }
 
 function sendJson(outgoing: ServerResponse, body: Record<string, unknown>): void {
@@ -298,14 +307,18 @@
   outgoing.end(JSON.stringify(body));
 }
 
-/** A recorded answer in the form of a stream. */
-function streamRecorded(outgoing: ServerResponse, prepared: Prepared, body: Buffer): void {
+/** Sends a recorded response as a stream. */
+function streamRecordedAnswer(
+  outgoing: ServerResponse,
+  prepared: PreparedCompletion,
+  body: Buffer,
+): void {
   const recorded = JSON.parse(body.toString()) as {
     choices: { message?: { content: string }; text?: string; finish_reason: string }[];
     usage?: OnlineAnswer['usage'];
   };
   const choice = recorded.choices[0];
   const writer = new StreamWriter(outgoing, prepared);
-  writer.token(choice?.message?.content ?? choice?.text ?? '');
+  writer.writeToken(choice?.message?.content ?? choice?.text ?? '');
   writer.end({ finishReason: choice?.finish_reason ?? 'stop', usage: recorded.usage, tokens: [] });
 }
--- a/packages/entry/src/endpoint-api.ts
+++ b/packages/entry/src/endpoint-api.ts
@@ -1,5 +1,5 @@
 /**
- * `POST /v1/endpoints/announce`: heartbeats of endpoints.
+ * `POST /v1/endpoints/announce`: receives the announcements that endpoints send as heartbeats.
  */
 import { z } from 'zod';
 import type { Announcement } from '@shedline/types';
@@ -25,12 +25,12 @@
   cachedPrefixes: z.array(z.string()).optional(),
 });
 
-/** Takes heartbeats. */
+/** Validates an announcement and passes it to `onAnnouncement`. */
 export async function handleAnnouncement(
   c: EntryHttpContext,
-  take: (announcement: Announcement) => void,
+  onAnnouncement: (announcement: Announcement) => void,
 ): Promise<Response> {
   const { cachedPrefixes, ...rest } = await readJson(c, announcementSchema, MAX_ANNOUNCEMENT_BYTES);
-  take(cachedPrefixes === undefined ? rest : { ...rest, cachedPrefixes });
+  onAnnouncement(cachedPrefixes === undefined ? rest : { ...rest, cachedPrefixes });
   return c.json({ taken: true });
 }
--- a/packages/entry/src/endpoint-driver.ts
+++ b/packages/entry/src/endpoint-driver.ts
@@ -1,6 +1,6 @@
 /**
- * How an entry talks to endpoints. The one interface behind which the real engines' form will
- * stand; {@link OpenAiDriver} speaks to engines with an OpenAI-compatible interface.
+ * Sends requests to endpoints. {@link EndpointDriver} is the interface that every kind of engine
+ * implements; {@link OpenAiDriver} implements it for engines with an OpenAI-compatible interface.
  */
 import { createParser } from 'eventsource-parser';
 import { Agent, request } from 'undici';
@@ -9,24 +9,24 @@
 import type { SendProgress } from '@shedline/admission';
 import { provesNotSent } from '@shedline/errors';
 import { REQUEST_ID_HEADER } from '@shedline/types';
-import { AnswerCheck } from './answer-check.js';
-import type { Usage } from './answer-check.js';
+import { StreamValidator } from './stream-validator.js';
+import type { Usage } from './stream-validator.js';
 
-/** Class of connections; batch never holds up online work on a shared one. */
-export type Lane = 'online' | 'batch';
+/** Class of connections; separate ones keep batch requests from delaying online requests. */
+export type ConnectionClass = 'online' | 'batch';
 
-/** A request for a generated answer. */
+/** Options of {@link EndpointDriver.generate}. */
 export interface GenerateOptions {
   readonly url: string;
   readonly requestId: string;
   readonly path: '/v1/chat/completions' | '/v1/completions';
   readonly body: Readonly<Record<string, unknown>>;
-  /** Tokens of an interrupted answer to go on from. */
+  /** Tokens of an interrupted response, after which generation resumes. */
   readonly resumeTokens: readonly string[];
-  readonly lane: Lane;
-  /** Aborted when the caller goes away or the work has to yield. */
+  readonly connectionClass: ConnectionClass;
+  /** Aborted when the caller disconnects or the work has to yield. */
   readonly signal: AbortSignal;
-  /** Time left for the whole answer. */
+  /** Time left for the whole response. */
   readonly deadlineMs: number;
   readonly firstTokenTimeoutMs: number;
   readonly stallTimeoutMs: number;
@@ -39,22 +39,22 @@
   | {
       readonly kind: 'failed';
       readonly progress: SendProgress;
-      /** The same request can never succeed. */
+      /** Whether the same request can never succeed. */
       readonly permanent: boolean;
-      /** The connection broke: the endpoint may be gone. */
+      /** Whether the connection broke, so that the endpoint may have stopped. */
       readonly lost: boolean;
       readonly status: number;
       readonly message: string;
     };
 
-/** A call of a plain service. */
+/** Options of {@link EndpointDriver.call}. */
 export interface CallOptions {
   readonly url: string;
   readonly method: string;
   readonly path: string;
   readonly headers: Readonly<Record<string, string>>;
   readonly body: Buffer;
-  readonly lane: Lane;
+  readonly connectionClass: ConnectionClass;
   readonly signal: AbortSignal;
 }
 
@@ -68,24 +68,29 @@
     }
   | { readonly kind: 'failed'; readonly progress: SendProgress; readonly message: string };
 
-/** Talks to endpoints. */
+/** Sends requests to endpoints. */
 export interface EndpointDriver {
   generate(options: GenerateOptions): Promise<GenerateOutcome>;
   call(options: CallOptions): Promise<CallOutcome>;
-  /** Moves the KV cache of a prompt; false where that did not work out in time. */
+  /** Moves the KV cache of a prompt; returns false if that failed or timed out. */
   moveCache(fromUrl: string, toUrl: string, prompt: string, timeoutMs: number): Promise<boolean>;
   close(): Promise<void>;
 }
 
 const CONNECT_TIMEOUT_MS = 500;
 const ABORT_REASON = new Error('the request was ended by this entry');
-/** Answers by which an endpoint says that it did not run the request. */
+/** Response statuses by which an endpoint reports that it did not execute the request. */
 const REFUSED_STATUSES = new Set([429, 503]);
-const HOP_HEADERS = new Set(['connection', 'keep-alive', 'transfer-encoding', 'content-length']);
+const HOP_BY_HOP_HEADERS = new Set([
+  'connection',
+  'keep-alive',
+  'transfer-encoding',
+  'content-length',
+]);
 
 /** {@link EndpointDriver} for OpenAI-compatible engines and plain HTTP services. */
 export class OpenAiDriver implements EndpointDriver {
-  private readonly agents: Readonly<Record<Lane, Agent>>;
+  private readonly agents: Readonly<Record<ConnectionClass, Agent>>;
 
   constructor() {
     const options = {
@@ -99,31 +104,31 @@
   }
 
   async generate(options: GenerateOptions): Promise<GenerateOutcome> {
-    const watch = new StallWatch(options);
+    const watchdog = new RequestWatchdog(options);
     let response: Dispatcher.ResponseData;
     try {
-      response = await this.post(options, watch.signal);
+      response = await this.post(options, watchdog.signal);
     } catch (error) {
-      watch.end();
-      return failedSend(error, watch.stalled);
+      watchdog.end();
+      return sendFailure(error, watchdog.hasStalled);
     }
     if (response.statusCode !== 200) {
-      const failure = await failedStatus(response);
-      watch.end();
+      const failure = await statusFailure(response);
+      watchdog.end();
       return failure;
     }
     if (response.headers[REQUEST_ID_HEADER] !== options.requestId) {
-      watch.abort();
+      watchdog.abort();
       response.body.on('error', () => undefined);
-      return failed('sent', 'the engine sent the answer to another request');
+      return failureOf('sent', 'the engine sent the answer to another request');
     }
-    return readStream(response, options, watch);
+    return readStream(response, options, watchdog);
   }
 
   async call(options: CallOptions): Promise<CallOutcome> {
     try {
       const response = await request(options.url + options.path, {
-        dispatcher: this.agents[options.lane],
+        dispatcher: this.agents[options.connectionClass],
         method: options.method,
         headers: options.headers,
         body: options.body.length === 0 ? null : options.body,
@@ -133,11 +138,11 @@
       return {
         kind: 'answered',
         status: response.statusCode,
-        headers: plainHeaders(response),
+        headers: forwardedHeaders(response),
         body,
       };
     } catch (error) {
-      const { progress, message } = failedSend(error, false);
+      const { progress, message } = sendFailure(error, false);
       return { kind: 'failed', progress, message };
     }
   }
@@ -172,7 +177,7 @@
   private post(options: GenerateOptions, signal: AbortSignal): Promise<Dispatcher.ResponseData> {
     const resume = options.resumeTokens.length > 0 ? { resume_tokens: options.resumeTokens } : {};
     return request(options.url + options.path, {
-      dispatcher: this.agents[options.lane],
+      dispatcher: this.agents[options.connectionClass],
       method: 'POST',
       headers: { 'content-type': 'application/json', [REQUEST_ID_HEADER]: options.requestId },
       body: JSON.stringify({
@@ -186,87 +191,87 @@
   }
 }
 
-/** Ends a request whose engine has fallen silent, whose time is up, or whose caller has gone. */
-class StallWatch {
-  stalled = false;
+/** Aborts a request if its engine stalls, its deadline passes or its caller disconnects. */
+class RequestWatchdog {
+  hasStalled = false;
   private readonly controller = new AbortController();
   private readonly options: GenerateOptions;
   private readonly deadlineTimer: NodeJS.Timeout;
-  private silenceTimer: NodeJS.Timeout;
-  private streaming = false;
+  private stallTimer: NodeJS.Timeout;
+  private isStreaming = false;
 
   constructor(options: GenerateOptions) {
     this.options = options;
-    options.signal.addEventListener('abort', this.abortQuietly, { once: true });
-    if (options.signal.aborted) this.abortQuietly();
-    this.deadlineTimer = setTimeout(this.abortQuietly, options.deadlineMs);
-    this.silenceTimer = setTimeout(this.stall, options.firstTokenTimeoutMs);
+    options.signal.addEventListener('abort', this.abortRequest, { once: true });
+    if (options.signal.aborted) this.abortRequest();
+    this.deadlineTimer = setTimeout(this.abortRequest, options.deadlineMs);
+    this.stallTimer = setTimeout(this.onStall, options.firstTokenTimeoutMs);
   }
 
   get signal(): AbortSignal {
     return this.controller.signal;
   }
 
-  /** Notes that a token came. */
-  alive(): void {
-    if (this.streaming) {
-      this.silenceTimer.refresh();
+  /** Restarts the stall timer; called for every event of the stream. */
+  eventReceived(): void {
+    if (this.isStreaming) {
+      this.stallTimer.refresh();
       return;
     }
-    this.streaming = true;
-    clearTimeout(this.silenceTimer);
-    this.silenceTimer = setTimeout(this.stall, this.options.stallTimeoutMs);
+    this.isStreaming = true;
+    clearTimeout(this.stallTimer);
+    this.stallTimer = setTimeout(this.onStall, this.options.stallTimeoutMs);
   }
 
   abort(): void {
     this.end();
-    this.abortQuietly();
+    this.abortRequest();
   }
 
   end(): void {
-    clearTimeout(this.silenceTimer);
+    clearTimeout(this.stallTimer);
     clearTimeout(this.deadlineTimer);
-    this.options.signal.removeEventListener('abort', this.abortQuietly);
+    this.options.signal.removeEventListener('abort', this.abortRequest);
   }
 
-  /** A ready-made reason spares the making of one with a stack. */
-  private readonly abortQuietly = (): void => {
+  /** Uses a shared reason, which avoids creating an error with a stack trace. */
+  private readonly abortRequest = (): void => {
     this.controller.abort(ABORT_REASON);
   };
 
-  private readonly stall = (): void => {
-    this.stalled = true;
-    this.abortQuietly();
+  private readonly onStall = (): void => {
+    this.hasStalled = true;
+    this.abortRequest();
   };
 }
 
 function readStream(
   response: Dispatcher.ResponseData,
   options: GenerateOptions,
-  watch: StallWatch,
+  watchdog: RequestWatchdog,
 ): Promise<GenerateOutcome> {
   return new Promise((resolve) => {
-    const check = new AnswerCheck(options.requestId);
-    let wrong: string | undefined;
+    const validator = new StreamValidator(options.requestId);
+    let invalidReason: string | undefined;
     const parser = createParser({
       onEvent: ({ data }) => {
-        if (wrong !== undefined) return;
-        const event = check.take(data);
-        watch.alive();
+        if (invalidReason !== undefined) return;
+        const event = validator.accept(data);
+        watchdog.eventReceived();
         if (event.kind === 'token') options.onToken(event.text);
-        if (event.kind === 'wrong') wrong = event.reason;
+        if (event.kind === 'invalid') invalidReason = event.reason;
       },
     });
     const decoder = new TextDecoder();
-    const finish = (brokenBy: string | undefined): void => {
-      watch.end();
-      resolve(streamOutcome(check, wrong, brokenBy, watch.stalled));
+    const finish = (connectionError: string | undefined): void => {
+      watchdog.end();
+      resolve(streamOutcome(validator, invalidReason, connectionError, watchdog.hasStalled));
     };
     response.body.on('data', (bytes: Buffer) => {
       parser.feed(decoder.decode(bytes, { stream: true }));
-      if (wrong === undefined) return;
+      if (invalidReason === undefined) return;
       finish(undefined);
-      watch.abort();
+      watchdog.abort();
     });
     response.body.on('end', () => {
       finish(undefined);
@@ -278,43 +283,43 @@
 }
 
 function streamOutcome(
-  check: AnswerCheck,
-  wrong: string | undefined,
-  brokenBy: string | undefined,
-  stalled: boolean,
+  validator: StreamValidator,
+  invalidReason: string | undefined,
+  connectionError: string | undefined,
+  hasStalled: boolean,
 ): GenerateOutcome {
-  if (wrong !== undefined) return failed('sent', wrong);
-  if (check.isWhole) {
-    return { kind: 'complete', finishReason: check.finishReason, usage: check.usage };
+  if (invalidReason !== undefined) return failureOf('sent', invalidReason);
+  if (validator.isComplete) {
+    return { kind: 'complete', finishReason: validator.finishReason, usage: validator.usage };
   }
-  if (stalled) return failed('sent', 'the engine fell silent');
-  const message = brokenBy ?? 'the answer broke off before its end';
-  return { ...failed('sent', message), lost: true };
+  if (hasStalled) return failureOf('sent', 'the engine fell silent');
+  const message = connectionError ?? 'the answer broke off before its end';
+  return { ...failureOf('sent', message), lost: true };
 }
 
-function failed(progress: SendProgress, message: string): GenerateOutcome & { kind: 'failed' } {
+function failureOf(progress: SendProgress, message: string): GenerateOutcome & { kind: 'failed' } {
   return { kind: 'failed', progress, permanent: false, lost: false, status: 0, message };
 }
 
-function failedSend(error: unknown, stalled: boolean): GenerateOutcome & { kind: 'failed' } {
+function sendFailure(error: unknown, hasStalled: boolean): GenerateOutcome & { kind: 'failed' } {
   const message = error instanceof Error ? error.message : String(error);
-  if (stalled) return failed('sent', 'the engine fell silent');
+  if (hasStalled) return failureOf('sent', 'the engine fell silent');
   const progress = provesNotSent(error) ? 'notSent' : 'sent';
-  return { ...failed(progress, message), lost: progress === 'sent' };
+  return { ...failureOf(progress, message), lost: progress === 'sent' };
 }
 
-async function failedStatus(
+async function statusFailure(
   response: Dispatcher.ResponseData,
 ): Promise<GenerateOutcome & { kind: 'failed' }> {
   const status = response.statusCode;
   const text = await response.body.text().catch(() => '');
-  const message = messageOf(text) ?? `the engine answered ${status}`;
-  if (REFUSED_STATUSES.has(status)) return { ...failed('refused', message), status };
+  const message = errorMessageOf(text) ?? `the engine answered ${status}`;
+  if (REFUSED_STATUSES.has(status)) return { ...failureOf('refused', message), status };
   const permanent = status >= 400 && status < 500;
-  return { ...failed(permanent ? 'refused' : 'sent', message), permanent, status };
+  return { ...failureOf(permanent ? 'refused' : 'sent', message), permanent, status };
 }
 
-function messageOf(text: string): string | undefined {
+function errorMessageOf(text: string): string | undefined {
   try {
     const body = JSON.parse(text) as { error?: { message?: string } };
     return body.error?.message;
@@ -323,10 +328,10 @@
   }
 }
 
-function plainHeaders(response: Dispatcher.ResponseData): Record<string, string> {
+function forwardedHeaders(response: Dispatcher.ResponseData): Record<string, string> {
   const headers: Record<string, string> = {};
   for (const [name, value] of Object.entries(response.headers)) {
-    if (value === undefined || HOP_HEADERS.has(name)) continue;
+    if (value === undefined || HOP_BY_HOP_HEADERS.has(name)) continue;
     headers[name] = Array.isArray(value) ? value.join(', ') : value;
   }
   return headers;
--- a/packages/entry/src/entry-node.ts
+++ b/packages/entry/src/entry-node.ts
@@ -1,5 +1,5 @@
 /**
- * The entry daemon: wires the decisions of one entry to its connections and timers.
+ * The entry process: connects the components of one entry to its HTTP server, peers and timers.
  */
 import { setTimeout as pause } from 'node:timers/promises';
 import { randomBytes } from 'node:crypto';
@@ -32,12 +32,12 @@
 import { TableReader } from './table-reader.js';
 
 const CLEANUP_INTERVAL_MS = 30_000;
-const POLL_MS = 20;
-/** Time without any request after which a stopping entry closes its connections. */
-const QUIET_MS = 250;
+const POLL_INTERVAL_MS = 20;
+/** Time without any request after which a draining entry closes its connections. */
+const QUIET_PERIOD_MS = 250;
 const HEADERS_TIMEOUT_MS = 10_000;
-/** Time for the news of a drain to reach every entry that hands out addresses. */
-const DRAIN_NEWS_MS = 1500;
+/** Time until every entry that returns addresses has received the change to draining. */
+const DRAIN_PROPAGATION_MS = 1500;
 const EPOCH_BYTES = 6;
 
 /** Options of {@link EntryNode}. */
@@ -71,13 +71,13 @@
   private readonly reader: TableReader;
   private server: ServerType | undefined;
   private url = '';
-  private draining = false;
+  private isDraining = false;
   private isReady = false;
   private openRequests = 0;
-  private requestsBegun = 0;
-  private requestCount = 0;
+  private startedRequests = 0;
+  private lastRequestNumber = 0;
   private timers: NodeJS.Timeout[] = [];
-  private drained: Promise<void> | undefined;
+  private drainPromise: Promise<void> | undefined;
 
   constructor(options: EntryNodeOptions) {
     this.settings = options.settings;
@@ -100,7 +100,7 @@
       staleAfterMs: this.entry.staleAfterMs,
       nowMs: this.nowMs,
       ownStatus: () => this.ownStatus(),
-      askPeer: (fromRevision) => this.peers.askTable(fromRevision),
+      requestFromPeer: (fromRevision) => this.peers.requestTable(fromRevision),
     });
     this.peers = new EntryPeers({
       settings: this.settings,
@@ -113,26 +113,26 @@
       epoch: this.epoch,
       tableForPeer: (fromRevision) => this.reader.tableForPeer(fromRevision),
       onYield: (endpointId) => {
-        this.batch.yieldAt(endpointId);
+        this.batch.yieldToOnline(endpointId);
       },
     });
     this.admission = new AdmissionController({
       fleet: this.fleet,
-      holder: this.peers.holder,
+      holder: this.peers.quotaHolder,
       metrics: this.metrics,
       nowMs: this.nowMs,
     });
     this.batch = this.createBatch();
   }
 
-  /** Where callers reach this entry. */
+  /** URL at which callers reach this entry. */
   get address(): string {
     return this.entry.publicUrl ?? this.url;
   }
 
-  /** Reads the table through the quorum, learns the endpoints from a peer, then serves. */
+  /** Reads the table from a quorum and the endpoints from a peer, then starts to serve. */
   async start(): Promise<void> {
-    await this.firstRefresh();
+    await this.waitForFirstRefresh();
     await this.peers.start(this.admission.limits);
     await this.peers.learnEndpoints();
     const listening = await this.listen();
@@ -144,21 +144,21 @@
       void this.reader.refresh();
     });
     this.every(CLEANUP_INTERVAL_MS, () => {
-      this.fleet.forgetGone(this.nowMs());
+      this.fleet.removeExpired(this.nowMs());
     });
     this.logger.info('entry ready', { step: 'start', url: this.address });
   }
 
   /**
-   * Planned stop: withdraws itself from the address answers, waits out the answers that
-   * callers still keep, lets running requests end, hands batch work back, then stops.
+   * Stops gracefully: removes this entry from the lists of addresses, waits until the lists that
+   * callers have cached expire, waits for running requests, returns batch work, then stops.
    */
   drain(): Promise<void> {
-    this.drained ??= this.drainOnce();
-    return this.drained;
+    this.drainPromise ??= this.runDrain();
+    return this.drainPromise;
   }
 
-  /** Ends at once, as a lost instance would. */
+  /** Stops immediately, like a crashed instance. */
   async kill(): Promise<void> {
     for (const timer of this.timers) clearInterval(timer);
     this.batch.stop();
@@ -168,32 +168,32 @@
     await this.driver.close();
   }
 
-  private async drainOnce(): Promise<void> {
-    this.draining = true;
+  private async runDrain(): Promise<void> {
+    this.isDraining = true;
     this.logger.info('draining', { step: 'drain' });
     const batchDrained = this.batch.drain(this.entry.drainTimeoutMs);
     this.peers.handOverSessions();
     await this.reader.refresh();
-    if (this.hasOtherEntries()) await pause(this.entry.keepForMs + DRAIN_NEWS_MS);
-    await this.untilQuiet(this.nowMs() + this.entry.drainTimeoutMs);
+    if (this.hasOtherEntries()) await pause(this.entry.keepForMs + DRAIN_PROPAGATION_MS);
+    await this.waitUntilQuiet(this.nowMs() + this.entry.drainTimeoutMs);
     await batchDrained;
     this.logger.info('drained', { step: 'drain', cutRequests: this.openRequests });
     await this.kill();
   }
 
   /**
-   * Waits until nothing has been under way for a while. The listener stays open meanwhile: closing
-   * it would reset connections that wait to be taken, and idle ones whose next request has been
-   * sent but not read.
+   * Waits until there was no request for `QUIET_PERIOD_MS`. The listener stays open meanwhile:
+   * closing it would reset connections that are not yet accepted, and idle connections whose next
+   * request was sent but not yet read.
    */
-  private async untilQuiet(deadlineMs: number): Promise<void> {
+  private async waitUntilQuiet(deadlineMs: number): Promise<void> {
     let quietSinceMs = this.nowMs();
-    let seenRequests = this.requestsBegun;
-    while (this.nowMs() < deadlineMs && this.nowMs() - quietSinceMs < QUIET_MS) {
-      await pause(POLL_MS);
-      const isQuiet = this.openRequests === 0 && this.requestsBegun === seenRequests;
+    let lastStartedRequests = this.startedRequests;
+    while (this.nowMs() < deadlineMs && this.nowMs() - quietSinceMs < QUIET_PERIOD_MS) {
+      await pause(POLL_INTERVAL_MS);
+      const isQuiet = this.openRequests === 0 && this.startedRequests === lastStartedRequests;
       if (!isQuiet) quietSinceMs = this.nowMs();
-      seenRequests = this.requestsBegun;
+      lastStartedRequests = this.startedRequests;
     }
   }
 
@@ -217,7 +217,7 @@
       dial: this.entry.batchDial,
       random: this.random,
       nowMs: this.nowMs,
-      liveEntries: () => this.peers.liveCell(),
+      liveEntries: () => this.peers.liveObserverSet(),
       nextRequestId: () => this.nextRequestId(),
     });
   }
@@ -232,8 +232,8 @@
       latencies: this.latencies,
       burn: this.burn,
       nowMs: this.nowMs,
-      onlineStarted: (endpointId) => {
-        this.onlineStarted(endpointId);
+      onOnlineStart: (endpointId) => {
+        this.yieldBatchWork(endpointId);
       },
     };
   }
@@ -249,14 +249,14 @@
     });
   }
 
-  private onlineStarted(endpointId: string): void {
+  private yieldBatchWork(endpointId: string): void {
     if (this.fleet.loads.batch(endpointId, this.nowMs()) === 0) return;
     const owner = this.batch.ownerOf(endpointId);
     if (owner === undefined || owner === this.settings.name) {
-      this.batch.yieldAt(endpointId);
+      this.batch.yieldToOnline(endpointId);
       return;
     }
-    this.peers.sayOnline(owner, endpointId);
+    this.peers.notifyOnlineStart(owner, endpointId);
   }
 
   private async listen(): Promise<AddressInfo> {
@@ -281,8 +281,8 @@
       sessionSecret: this.settings.instanceSecret,
       fleet,
       reader,
-      takeAnnouncement: (announcement) => {
-        this.takeAnnouncement(announcement);
+      onAnnouncement: (announcement) => {
+        this.receiveAnnouncement(announcement);
       },
       addresses: (query) => this.addresses(query),
       status: () => this.status(),
@@ -291,11 +291,11 @@
       drain: () => {
         void this.drain();
       },
-      isServing: () => !this.draining,
-      track: (change) => {
+      isServing: () => !this.isDraining,
+      trackOpenRequests: (change) => {
         this.openRequests += change;
-        if (change === 1) this.requestsBegun += 1;
-        this.metrics.setOpen('online', this.openRequests);
+        if (change === 1) this.startedRequests += 1;
+        this.metrics.setOpenRequests('online', this.openRequests);
       },
       logger: this.logger,
     });
@@ -321,17 +321,17 @@
   }
 
   private nextRequestId(): string {
-    this.requestCount += 1;
-    return `${this.epoch}-${this.requestCount.toString(36)}`;
+    this.lastRequestNumber += 1;
+    return `${this.epoch}-${this.lastRequestNumber.toString(36)}`;
   }
 
-  private takeAnnouncement(announcement: Announcement): void {
-    this.peers.announced(announcement);
+  private receiveAnnouncement(announcement: Announcement): void {
+    this.peers.receiveAnnouncement(announcement);
   }
 
-  /** A fresh entry serves nothing before a quorum has told it the table. */
-  private async firstRefresh(): Promise<void> {
-    while (!(await this.reader.refresh())) await pause(POLL_MS);
+  /** Waits for the first refresh: a new entry serves nothing until a quorum sent it the table. */
+  private async waitForFirstRefresh(): Promise<void> {
+    while (!(await this.reader.refresh())) await pause(POLL_INTERVAL_MS);
   }
 
   private ownStatus(): EntryStatus {
@@ -340,25 +340,26 @@
       url: this.address,
       availabilityZone: this.settings.availabilityZone,
       revision: this.fleet.table.revision,
-      // Nobody is sent to an entry that does not listen yet.
-      draining: this.draining || !this.isReady,
+      // Keeps callers from being directed to an entry that does not listen yet.
+      draining: this.isDraining || !this.isReady,
       load: this.fleet.utilization(this.nowMs()),
     };
   }
 
   /**
-   * The table is old when neither control nor a peer with a young table could be reached. If
-   * most entries are within reach, they are no better off: the fleet has no quorum, nothing
-   * can be accepted, and this table is the one in force. Otherwise this entry is cut off.
+   * Throws if this entry is partitioned from the fleet. The table is stale if neither control nor a
+   * peer with a fresh table could be reached. If most entries are reachable nevertheless, the fleet
+   * has no quorum: no edit can be accepted, and this table is still in force. If not, this entry is
+   * partitioned and its table may be outdated.
    */
   private checkServing(): void {
     if (this.reader.isFresh) return;
-    const reachable = this.peers.liveEntries().length;
-    const known = this.entry.peers.length;
-    if (known <= 1 || reachable > known / 2) return;
+    const reachableCount = this.peers.liveEntries().length;
+    const knownCount = this.entry.peers.length;
+    if (knownCount <= 1 || reachableCount > knownCount / 2) return;
     throw new ShedlineError({
       type: 'unavailable',
-      message: 'this entry is cut off from the others; use another address',
+      message: 'this entry is partitioned from the other entries; use another address',
       step: 'check table',
       peer: this.settings.name,
       ran: 'no',
@@ -370,9 +371,9 @@
     readonly availabilityZone?: string;
     readonly session?: string;
   }): unknown {
-    const live = new Set(this.peers.liveEntries());
+    const liveEntries = new Set(this.peers.liveEntries());
     const others = this.reader.entries.filter(
-      (status) => status.entry !== this.settings.name && live.has(status.entry),
+      (status) => status.entry !== this.settings.name && liveEntries.has(status.entry),
     );
     const candidates = [this.ownStatus(), ...others].map((status): AddressCandidate => ({
       entry: status.entry,
@@ -407,7 +408,7 @@
       instance: this.settings.name,
       revision: this.fleet.table.revision,
       fresh: this.reader.isFresh,
-      draining: this.draining,
+      draining: this.isDraining,
       openRequests: this.openRequests,
       batchStreams: this.batch.running,
       latencies: this.latencies.summaries(),
--- a/packages/entry/src/entry-peers.ts
+++ b/packages/entry/src/entry-peers.ts
@@ -1,6 +1,6 @@
 /**
- * What entries tell each other: who is up, announcements of endpoints, counts of requests
- * under way, shares of limits, and calls to yield.
+ * Communication between entries: membership, announcements of endpoints, counts of requests in
+ * progress, shares of limits, and notifications that batch work has to yield.
  */
 import { QuotaHolder, QuotaOwner, limitKey } from '@shedline/admission';
 import type { QuotaAnswer, QuotaRequest, RowLimits } from '@shedline/admission';
@@ -13,8 +13,8 @@
 import { PeerClient, PeerServer } from '@shedline/transport';
 import { rendezvousOrder } from '@shedline/types';
 import type { Announcement } from '@shedline/types';
-import { AnnouncementSpreader, heartbeatOf } from './announcement-spreader.js';
-import type { SpreadMessage } from './announcement-spreader.js';
+import { AnnouncementForwarder, heartbeatOf } from './announcement-forwarder.js';
+import type { AnnouncementsMessage } from './announcement-forwarder.js';
 import type { FleetView } from './fleet-view.js';
 import type { PeerTable } from './table-reader.js';
 
@@ -22,12 +22,12 @@
 const COUNTS_INTERVAL_MS = 250;
 const QUOTA_INTERVAL_MS = 200;
 const QUOTA_TIMEOUT_MS = 400;
-const SPREAD_INTERVAL_MS = 200;
+const ANNOUNCEMENTS_INTERVAL_MS = 200;
 const BURN_TIMEOUT_MS = 1000;
-const ASK_TIMEOUT_MS = 500;
-/** Peers asked one after another until one answers. */
-const MAX_ASKED = 3;
-/** A connection that was not used for this long is closed. */
+const REQUEST_TIMEOUT_MS = 500;
+/** Maximum number of peers to which a request is sent in turn until one replies. */
+const MAX_PEERS_TRIED = 3;
+/** Time without use after which a connection is closed. */
 const IDLE_LINK_MS = 60_000;
 
 type CountsMessage = [string, number, number][];
@@ -41,26 +41,26 @@
   readonly logger: Logger;
   readonly random: () => number;
   readonly nowMs: () => number;
-  /** Differs between any two processes. */
+  /** Identifier of this process; differs between any two processes. */
   readonly epoch: string;
   readonly onYield: (endpointId: string) => void;
   readonly tableForPeer: (fromRevision: number) => PeerTable | undefined;
 }
 
-/** The other entries as one entry knows them. */
+/** Connections of one entry to the other entries. */
 export class EntryPeers {
-  readonly holder: QuotaHolder;
+  readonly quotaHolder: QuotaHolder;
   private readonly options: EntryPeersOptions;
   private readonly self: string;
   private readonly membership: EntryMembership;
-  private readonly owner: QuotaOwner;
+  private readonly quotaOwner: QuotaOwner;
   private readonly server: PeerServer;
   private readonly links = new Map<string, { client: PeerClient; usedAtMs: number }>();
-  private readonly spreader: AnnouncementSpreader;
+  private readonly forwarder: AnnouncementForwarder;
   private lastCounts = new Map<string, string>();
   private timers: NodeJS.Timeout[] = [];
   private limits: RowLimits | undefined;
-  private askingQuota = false;
+  private isRequestingQuota = false;
 
   constructor(options: EntryPeersOptions) {
     this.options = options;
@@ -74,13 +74,13 @@
       random: options.random,
       incarnation: Date.now(),
     });
-    this.spreader = new AnnouncementSpreader({
+    this.forwarder = new AnnouncementForwarder({
       self: this.self,
-      cellSize: entry.observersPerEndpoint,
-      entries: placedEntries(settings, entry),
+      observerSetSize: entry.observersPerEndpoint,
+      entries: zonedEntries(settings, entry),
     });
-    this.owner = new QuotaOwner({ entryCount, epoch: options.epoch });
-    this.holder = new QuotaHolder({ entryCount });
+    this.quotaOwner = new QuotaOwner({ entryCount, epoch: options.epoch });
+    this.quotaHolder = new QuotaHolder({ entryCount });
     this.server = new PeerServer({
       name: this.self,
       secret: settings.instanceSecret,
@@ -93,29 +93,29 @@
     });
   }
 
-  /** Starts listening and talking. */
+  /** Starts listening and the periodic messages. */
   async start(limits: RowLimits): Promise<void> {
     this.limits = limits;
     const { entry } = this.options;
     if (this.hasPeers) await this.server.listen(entry.listenHost, entry.peerListenPort);
     this.every(MEMBERSHIP_TICK_MS, () => {
-      this.dispatch(this.membership.tick(this.options.nowMs()));
+      this.sendMembershipMessages(this.membership.tick(this.options.nowMs()));
     });
     this.every(QUOTA_INTERVAL_MS, () => {
-      void this.askQuota();
+      void this.requestQuota();
     });
-    this.every(SPREAD_INTERVAL_MS, () => {
-      this.spreadAnnouncements();
+    this.every(ANNOUNCEMENTS_INTERVAL_MS, () => {
+      this.sendAnnouncements();
     });
     this.every(COUNTS_INTERVAL_MS, () => {
-      this.shareCounts();
+      this.sendChangedCounts();
     });
     this.every(IDLE_LINK_MS, () => {
       this.closeIdleLinks();
     });
   }
 
-  /** Stops. */
+  /** Stops the timers and closes all connections. */
   async stop(): Promise<void> {
     for (const timer of this.timers) clearInterval(timer);
     this.timers = [];
@@ -123,43 +123,43 @@
     await this.server.close();
   }
 
-  /** Entries that are up as far as known, this one included. */
+  /** Returns the entries that are considered live, this one included. */
   liveEntries(): string[] {
     return this.membership.liveEntries();
   }
 
-  /** Live entries that observe the same endpoints as this one, itself included. */
-  liveCell(): string[] {
-    const members = new Set(this.spreader.cellMembers);
+  /** Returns the live entries that observe the same endpoints as this one, this one included. */
+  liveObserverSet(): string[] {
+    const members = new Set(this.forwarder.observerSetMembers);
     return this.liveEntries().filter((name) => members.has(name) || name === this.self);
   }
 
-  /** Takes an announcement from an endpoint; passes it on, at once where the endpoint leaves. */
-  announced(announcement: Announcement): void {
+  /** Applies and forwards an announcement; immediately if the endpoint is leaving. */
+  receiveAnnouncement(announcement: Announcement): void {
     const nowMs = this.options.nowMs();
-    const observes = this.spreader.observes(announcement);
+    const observes = this.forwarder.observes(announcement);
     if (observes && !this.options.fleet.observe(announcement, 0, nowMs)) return;
-    this.spreader.add(announcement, nowMs);
-    if (announcement.leaving) this.spreadAnnouncements();
+    this.forwarder.add(announcement, nowMs);
+    if (announcement.leaving) this.sendAnnouncements();
   }
 
-  /** Tells the owner of the batch work on an endpoint that online work begins there. */
-  sayOnline(owner: string, endpointId: string): void {
-    const online = this.options.fleet.loads.own().find((own) => own.endpointId === endpointId);
+  /** Notifies the owner of the batch work on an endpoint that online work starts there. */
+  notifyOnlineStart(owner: string, endpointId: string): void {
+    const counts = this.options.fleet.loads.own().find((own) => own.endpointId === endpointId);
     this.send(owner, 'yield', {
       endpointId,
-      online: online?.online ?? 1,
-      batch: online?.batch ?? 0,
+      online: counts?.online ?? 1,
+      batch: counts?.batch ?? 0,
     });
   }
 
-  /** Tells peers where the sessions of this entry last ran. */
+  /** Sends the latest endpoints of the sessions of this entry to all peers. */
   handOverSessions(): void {
     const hints = this.options.fleet.sessionHints();
     for (const peer of this.otherEntries()) this.send(peer, 'sessions', hints);
   }
 
-  /** Counts of service-level events of all live entries. */
+  /** Returns the burn-rate counts of all live entries that reply. */
   async burnSeries(): Promise<BurnSeries[]> {
     const own = this.options.burn.export(this.options.nowMs());
     const others = this.otherEntries().map(async (peer) => {
@@ -173,31 +173,32 @@
     return [...own, ...(await Promise.all(others)).flatMap((series) => series ?? [])];
   }
 
-  /** Learns from a peer of the cell which endpoints there are, so as not to start blind. */
+  /** Requests the known endpoints from a peer of the observer set before serving. */
   async learnEndpoints(): Promise<void> {
-    const known = await this.askSome(this.liveCell(), 'endpoints', {});
-    if (known !== undefined) this.takeAnnouncements(known as SpreadMessage);
+    const known = await this.requestFromAny(this.liveObserverSet(), 'endpoints', {});
+    if (known !== undefined) this.applyAnnouncements(known as AnnouncementsMessage);
   }
 
-  /** The table of some peer that has reached control lately. */
-  async askTable(fromRevision: number): Promise<PeerTable | undefined> {
-    return (await this.askSome(this.liveEntries(), 'table', fromRevision)) as PeerTable | undefined;
+  /** Requests the table from a peer whose table is fresh. */
+  async requestTable(fromRevision: number): Promise<PeerTable | undefined> {
+    return (await this.requestFromAny(this.liveEntries(), 'table', fromRevision)) as
+      PeerTable | undefined;
   }
 
-  /** The first answer that any of a few others gives. */
-  private async askSome(
+  /** Sends a request to up to `MAX_PEERS_TRIED` random entries; returns the first reply. */
+  private async requestFromAny(
     names: readonly string[],
     method: string,
     payload: unknown,
   ): Promise<unknown> {
     const others = names.filter((name) => name !== this.self);
     others.sort(() => this.options.random() - 0.5);
-    for (const name of others.slice(0, MAX_ASKED)) {
+    for (const name of others.slice(0, MAX_PEERS_TRIED)) {
       try {
-        const answer = await this.linkTo(name)?.request(method, payload, ASK_TIMEOUT_MS);
-        if (answer !== undefined && answer !== null) return answer;
+        const reply = await this.linkTo(name)?.request(method, payload, REQUEST_TIMEOUT_MS);
+        if (reply !== undefined && reply !== null) return reply;
       } catch {
-        // The next one may be reachable.
+        // Tries the next entry, which may be reachable.
       }
     }
     return undefined;
@@ -247,7 +248,7 @@
     this.linkTo(name)?.send(method, payload);
   }
 
-  private dispatch(messages: readonly OutgoingMessage[]): void {
+  private sendMembershipMessages(messages: readonly OutgoingMessage[]): void {
     for (const { to, message } of messages) this.send(to, 'membership', message);
   }
 
@@ -255,12 +256,12 @@
     const nowMs = this.options.nowMs();
     const { fleet, onYield } = this.options;
     if (method === 'membership') {
-      this.dispatch(this.membership.receive(payload as MembershipMessage, nowMs));
+      this.sendMembershipMessages(this.membership.receive(payload as MembershipMessage, nowMs));
     }
     if (method === 'announcements') {
-      this.takeAnnouncements(payload as SpreadMessage);
+      this.applyAnnouncements(payload as AnnouncementsMessage);
     }
-    if (method === 'counts') this.takeCounts(payload as CountsMessage, peer, nowMs);
+    if (method === 'counts') this.applyCounts(payload as CountsMessage, peer, nowMs);
     if (method === 'yield') {
       const { endpointId, online, batch } = payload as {
         endpointId: string;
@@ -272,7 +273,7 @@
     }
     if (method === 'sessions') {
       for (const [sessionId, endpointId] of payload as [string, string][]) {
-        fleet.noteSession(sessionId, endpointId);
+        fleet.recordSession(sessionId, endpointId);
       }
     }
   }
@@ -280,13 +281,13 @@
   private onRequest(method: string, payload: unknown): Promise<unknown> {
     const nowMs = this.options.nowMs();
     if (method === 'quota') {
-      const asks = payload as QuotaRequest[];
-      return Promise.resolve(asks.map((ask) => this.owner.ask(ask, nowMs)));
+      const requests = payload as QuotaRequest[];
+      return Promise.resolve(requests.map((request) => this.quotaOwner.ask(request, nowMs)));
     }
     if (method === 'table') return Promise.resolve(this.options.tableForPeer(payload as number));
     if (method === 'endpoints') return Promise.resolve(this.knownEndpoints());
     if (method === 'burn') return Promise.resolve(this.options.burn.export(nowMs));
-    const message = `entries answer no ${method}`;
+    const message = `entries do not support the method ${method}`;
     const error = new ShedlineError({
       type: 'invalid_request',
       message,
@@ -296,17 +297,17 @@
     return Promise.reject(error);
   }
 
-  private takeAnnouncements({ whole, short }: SpreadMessage): void {
+  private applyAnnouncements({ whole, short }: AnnouncementsMessage): void {
     const nowMs = this.options.nowMs();
     for (const [announcement, ageMs] of whole)
       this.options.fleet.observe(announcement, ageMs, nowMs);
-    for (const one of short) {
-      const { beat, ageMs } = heartbeatOf(one);
-      this.options.fleet.beat(beat, ageMs, nowMs);
+    for (const shortForm of short) {
+      const { heartbeat, ageMs } = heartbeatOf(shortForm);
+      this.options.fleet.applyHeartbeat(heartbeat, ageMs, nowMs);
     }
   }
 
-  private knownEndpoints(): SpreadMessage {
+  private knownEndpoints(): AnnouncementsMessage {
     const nowMs = this.options.nowMs();
     const live = this.options.fleet.endpoints.live(nowMs);
     const whole = live.map(
@@ -315,24 +316,24 @@
     return { whole, short: [] };
   }
 
-  private takeCounts(counts: CountsMessage, peer: string, nowMs: number): void {
+  private applyCounts(counts: CountsMessage, peer: string, nowMs: number): void {
     for (const [endpointId, online, batch] of counts) {
       this.options.fleet.loads.peerCount(endpointId, peer, { online, batch }, nowMs);
     }
   }
 
-  private spreadAnnouncements(): void {
+  private sendAnnouncements(): void {
     const live = new Set(this.liveEntries());
-    for (const { to, message } of this.spreader.take(this.options.nowMs())) {
+    for (const { to, message } of this.forwarder.takeMessages(this.options.nowMs())) {
       for (const name of to) {
         if (live.has(name)) this.send(name, 'announcements', message);
       }
     }
   }
 
-  /** Only counts that changed are sent, and those that are not zero again before they lapse. */
-  private shareCounts(): void {
-    const peers = this.liveCell().filter((name) => name !== this.self);
+  /** Sends the counts that have changed, and repeats nonzero counts before they expire at peers. */
+  private sendChangedCounts(): void {
+    const peers = this.liveObserverSet().filter((name) => name !== this.self);
     if (peers.length === 0) return;
     const changed: CountsMessage = [];
     const current = new Map<string, string>();
@@ -350,52 +351,55 @@
     for (const peer of peers) this.send(peer, 'counts', changed);
   }
 
-  private async askQuota(): Promise<void> {
-    if (this.askingQuota || this.limits === undefined) return;
-    this.askingQuota = true;
+  private async requestQuota(): Promise<void> {
+    if (this.isRequestingQuota || this.limits === undefined) return;
+    this.isRequestingQuota = true;
     try {
-      await this.askOwner(this.limits);
+      await this.requestFromOwner(this.limits);
     } finally {
-      this.askingQuota = false;
+      this.isRequestingQuota = false;
     }
-    this.owner.forgetIdle(this.options.nowMs());
+    this.quotaOwner.forgetIdle(this.options.nowMs());
   }
 
-  private async askOwner(limits: RowLimits): Promise<void> {
-    const askedAtMs = this.options.nowMs();
+  private async requestFromOwner(limits: RowLimits): Promise<void> {
+    const requestedAtMs = this.options.nowMs();
     const preferred = rendezvousOrder('quota', this.liveEntries(), 1)[0] ?? this.self;
-    const owner = this.holder.ownerToAsk(preferred, askedAtMs);
+    const owner = this.quotaHolder.ownerToAsk(preferred, requestedAtMs);
     if (owner === undefined) return;
-    const asks = this.asksFor(limits, askedAtMs);
-    const answers = await this.sendAsks(owner, asks, askedAtMs);
-    for (const [position, answer] of answers.entries()) {
-      const ask = asks[position];
-      if (ask !== undefined) this.holder.answered(owner, ask.row, answer, askedAtMs);
+    const requests = this.quotaRequestsFor(limits, requestedAtMs);
+    const replies = await this.sendQuotaRequests(owner, requests, requestedAtMs);
+    for (const [position, reply] of replies.entries()) {
+      const request = requests[position];
+      if (request !== undefined)
+        this.quotaHolder.answered(owner, request.row, reply, requestedAtMs);
     }
   }
 
-  private asksFor(limits: RowLimits, nowMs: number): QuotaRequest[] {
+  private quotaRequestsFor(limits: RowLimits, nowMs: number): QuotaRequest[] {
     const { table } = this.options.fleet;
-    const token = this.holder.lastToken;
+    const token = this.quotaHolder.lastToken;
     const common = { entry: this.self, ...(token === undefined ? {} : { token }) };
-    const asks = limits.demands(nowMs).flatMap(({ row, kind, demand }): QuotaRequest[] => {
+    const requests = limits.demands(nowMs).flatMap(({ row, kind, demand }): QuotaRequest[] => {
       const known = table.row(row);
       if (known === undefined) return [];
       const { revision } = known;
       return [{ ...common, row: limitKey(row, kind), demand, limit: known.limits[kind], revision }];
     });
-    // An empty ask keeps up the support without which the owner may grant nobody anything.
-    return asks.length > 0 ? asks : [{ ...common, row: '', demand: 0, limit: 0, revision: 0 }];
+    // An empty request renews the support without which the owner may not grant anything.
+    return requests.length > 0
+      ? requests
+      : [{ ...common, row: '', demand: 0, limit: 0, revision: 0 }];
   }
 
-  private async sendAsks(
+  private async sendQuotaRequests(
     owner: string,
-    asks: readonly QuotaRequest[],
+    requests: readonly QuotaRequest[],
     nowMs: number,
   ): Promise<QuotaAnswer[]> {
-    if (owner === this.self) return asks.map((ask) => this.owner.ask(ask, nowMs));
+    if (owner === this.self) return requests.map((request) => this.quotaOwner.ask(request, nowMs));
     try {
-      return ((await this.linkTo(owner)?.request('quota', asks, QUOTA_TIMEOUT_MS)) ??
+      return ((await this.linkTo(owner)?.request('quota', requests, QUOTA_TIMEOUT_MS)) ??
         []) as QuotaAnswer[];
     } catch {
       return [];
@@ -403,8 +407,8 @@
   }
 }
 
-/** All entries of the settings; one without a zone of its own stands in this one's. */
-function placedEntries(settings: Settings, entry: EntrySettings): ZonedEntry[] {
+/** Returns all entries of the settings; an entry without a zone is assumed to be in this one's. */
+function zonedEntries(settings: Settings, entry: EntrySettings): ZonedEntry[] {
   const own = { name: settings.name, availabilityZone: settings.availabilityZone };
   const others = entry.peers
     .filter((peer) => peer.name !== settings.name)
--- a/packages/entry/src/entry.test.ts
+++ b/packages/entry/src/entry.test.ts
@@ -3,8 +3,8 @@
 import { describe, title } from '@shedline/test-utils';
 import { sha256Hex } from '@shedline/types';
 import type { Announcement } from '@shedline/types';
-import { AnnouncementSpreader, heartbeatOf } from './announcement-spreader.js';
-import { AnswerCheck } from './answer-check.js';
+import { AnnouncementForwarder, heartbeatOf } from './announcement-forwarder.js';
+import { StreamValidator } from './stream-validator.js';
 import { Authenticator } from './auth.js';
 import { HeldItems } from './held-items.js';
 import { readItemParts } from './job-upload.js';
@@ -16,31 +16,31 @@
   return JSON.stringify({ id, choices: [{ delta: { content: text }, finish_reason: finish }] });
 }
 
-describe('AnswerCheck', () => {
-  test(title('takes only the whole answer to its own request, in one piece, once'), (t) => {
-    const good = [chunk('r', 'a'), chunk('r', 'b'), chunk('r', '', 'stop'), '[DONE]'];
+describe('StreamValidator', () => {
+  test(title('accepts only the complete response to its own request, once'), (t) => {
+    const validEvents = [chunk('r', 'a'), chunk('r', 'b'), chunk('r', '', 'stop'), '[DONE]'];
     const change = fc.record({
-      kind: fc.constantFrom('none', 'drop', 'double', 'foreign', 'cut', 'garble'),
+      kind: fc.constantFrom('none', 'drop', 'double', 'otherRequest', 'truncate', 'garble'),
       at: fc.nat(3),
     });
     fc.assert(
       fc.property(change, ({ kind, at }) => {
-        const events = [...good];
+        const events = [...validEvents];
         if (kind === 'drop' && at >= 2) events.splice(at, 1);
         if (kind === 'double' && at >= 2) events.splice(at, 0, events[at] ?? '');
-        if (kind === 'foreign') events.splice(at, 0, chunk('other', 'x'));
-        if (kind === 'cut') events.length = at;
+        if (kind === 'otherRequest') events.splice(at, 0, chunk('other', 'x'));
+        if (kind === 'truncate') events.length = at;
         if (kind === 'garble') events.splice(at, 0, '{"id":');
-        const check = new AnswerCheck('r');
+        const validator = new StreamValidator('r');
         let text = '';
-        let isWrong = false;
+        let isInvalid = false;
         for (const data of events) {
-          const event = check.take(data);
-          if (event.kind === 'wrong') isWrong = true;
-          if (isWrong) break;
+          const event = validator.accept(data);
+          if (event.kind === 'invalid') isInvalid = true;
+          if (isInvalid) break;
           if (event.kind === 'token') text += event.text;
         }
-        const accepted = !isWrong && check.isWhole;
+        const accepted = !isInvalid && validator.isComplete;
         if (accepted) t.is(text, 'ab');
         const harmless = kind === 'none' || ((kind === 'drop' || kind === 'double') && at < 2);
         t.is(accepted, harmless, `${kind} ${at}`);
@@ -56,17 +56,22 @@
     { role: 'operator', tokenSha256: sha256Hex('o') },
   ]);
 
-  test(title("knows the caller by its token and lets nobody do what is another role's"), (t) => {
-    t.is(authenticator.requireCaller('Bearer c'), 'demo');
-    for (const header of [undefined, 'Bearer x', 'Basic c', 'Bearer o']) {
-      t.throws(() => authenticator.requireCaller(header), { message: /token/ });
-    }
-    t.throws(() => authenticator.require('Bearer c', 'operator'), { message: /no operator role/ });
-  });
+  test(
+    title('identifies the caller by its token and rejects requests that need another role'),
+    (t) => {
+      t.is(authenticator.requireCaller('Bearer c'), 'demo');
+      for (const header of [undefined, 'Bearer x', 'Basic c', 'Bearer o']) {
+        t.throws(() => authenticator.requireCaller(header), { message: /token/ });
+      }
+      t.throws(() => authenticator.requireRole('Bearer c', 'operator'), {
+        message: /no operator role/,
+      });
+    },
+  );
 });
 
 describe('sessions', () => {
-  test(title('a token is good for its fleet and workspace only'), (t) => {
+  test(title('a token is valid only for its fleet and workspace'), (t) => {
     const token = openSession('secret', 'demo', 'chat');
     t.is(readSession('secret', token, 'demo').service, 'chat');
     t.throws(() => readSession('other', token, 'demo'));
@@ -79,28 +84,28 @@
   const line = (n: number): string => JSON.stringify({ customId: `c${n}`, body: { messages: [] } });
   const options = { fromIndex: 100, maxItemBytes: 1000 };
 
-  test(title('cuts a chunk into parts that follow each other and lose nothing'), async (t) => {
+  test(title('splits a chunk into consecutive parts that contain every line'), async (t) => {
     const lines = Array.from({ length: 1500 }, (_, n) => line(n));
     const parts = await readItemParts({ ...options, body: Buffer.from(`${lines.join('\r\n')}\n`) });
     t.deepEqual(
       parts.flatMap((part) => [...part.lines]),
       lines,
     );
-    let next = 100;
+    let nextIndex = 100;
     for (const part of parts) {
-      t.is(part.fromIndex, next);
-      next += part.lines.length;
+      t.is(part.fromIndex, nextIndex);
+      nextIndex += part.lines.length;
     }
   });
 
-  test(title('names the line of a mistake'), async (t) => {
-    const bad = [
+  test(title('an error names the invalid line'), async (t) => {
+    const invalidChunks = [
       `${line(1)}\n\n${line(2)}`,
       `${line(1)}\n{"customId":"x"}`,
       `${line(1)}\n${line(1)}`,
       `${line(1)}\n${JSON.stringify({ customId: 'l', body: { p: 'x'.repeat(2000) } })}`,
     ];
-    for (const text of bad) {
+    for (const text of invalidChunks) {
       await t.throwsAsync(readItemParts({ ...options, body: Buffer.from(text) }), {
         message: /^line 2: /,
       });
@@ -122,21 +127,21 @@
       items: [item(0), item(1)],
     };
     held.add(1, [lease], 0);
-    const first = held.take(() => true);
+    const first = held.takeFirst(() => true);
     t.truthy(first);
     if (first === undefined) return;
-    held.renewed(1, ['l'], [], 1000);
-    held.dropSilent(500);
+    held.recordRenewal(1, ['l'], [], 1000);
+    held.dropExpired(500);
     t.true(held.isOpen(first));
-    held.dropSilent(1500);
+    held.dropExpired(1500);
     t.false(held.isOpen(first));
     t.is(held.waitingCount, 0);
-    held.putBack(first);
+    held.requeue(first);
     t.is(held.waitingCount, 0);
   });
 });
 
-describe('AnnouncementSpreader', () => {
+describe('AnnouncementForwarder', () => {
   const announcement = (sequence: number, fields: Partial<Announcement> = {}): Announcement => ({
     endpointId: 'e',
     incarnation: 1,
@@ -157,19 +162,17 @@
   }));
 
   test(
-    title(
-      'sends what changed whole, the rest short, and only to the cell that observes the endpoint',
-    ),
+    title('sends changed announcements in full, others as heartbeats, only to the observer set'),
     (t) => {
-      const spreader = new AnnouncementSpreader({ self: 'n0', entries, cellSize: 6 });
+      const forwarder = new AnnouncementForwarder({ self: 'n0', entries, observerSetSize: 6 });
       const forms: string[] = [];
       for (let sequence = 1; sequence <= 4; sequence += 1) {
-        spreader.add(announcement(sequence, { leaving: sequence === 4 }), 100 * sequence);
-        const [sent] = spreader.take(100 * sequence + 7);
+        forwarder.add(announcement(sequence, { leaving: sequence === 4 }), 100 * sequence);
+        const [sent] = forwarder.takeMessages(100 * sequence + 7);
         t.true((sent?.to.length ?? 0) <= 6);
         const short = sent?.message.short[0];
         if (short !== undefined)
-          t.like(heartbeatOf(short), { ageMs: 7, beat: { sequence, running: sequence } });
+          t.like(heartbeatOf(short), { ageMs: 7, heartbeat: { sequence, running: sequence } });
         forms.push(short === undefined ? 'whole' : 'short');
       }
       t.deepEqual(forms, ['whole', 'short', 'short', 'whole']);
--- a/packages/entry/src/fleet-view.ts
+++ b/packages/entry/src/fleet-view.ts
@@ -1,6 +1,6 @@
 /**
- * Everything that an entry knows when it decides: the table, the endpoints, their loads and
- * caches, its peers. The decisions themselves are in their own packages.
+ * The state on which an entry bases its decisions: the table, the endpoints, their loads and prefix
+ * caches, and the sessions. The decision logic is in separate packages.
  */
 import { ConcurrencyLimit } from '@shedline/admission';
 import { EndpointDirectory } from '@shedline/directory';
@@ -18,18 +18,18 @@
   readonly strategy?: RoutingStrategy;
 }
 
-/** What routing is asked. */
+/** Input of {@link FleetView.route}. */
 export interface RouteQuery {
   readonly row: ServiceRow;
   readonly prefixes: readonly string[];
   readonly sessionId: string | undefined;
-  /** Endpoints that already failed this request. */
+  /** Endpoints that have already failed this request. */
   readonly excluded: ReadonlySet<string>;
 }
 
 const MAX_REMEMBERED_SESSIONS = 20_000;
 
-/** Knowledge of one entry. */
+/** The fleet as seen by one entry. */
 export class FleetView {
   readonly table = new TableView();
   readonly endpoints: EndpointDirectory;
@@ -46,7 +46,7 @@
     this.strategy = options.strategy ?? new CostRouting({ random: options.random });
   }
 
-  /** Takes an announcement; false where something newer is known. */
+  /** Applies an announcement; returns false if a newer one is known. */
   observe(announcement: Announcement, ageMs: number, nowMs: number): boolean {
     if (!this.endpoints.observe(announcement, ageMs, nowMs)) return false;
     const { endpointId, load, cachedPrefixes } = announcement;
@@ -55,15 +55,15 @@
     return true;
   }
 
-  /** Takes the short form of a heartbeat. */
-  beat(beat: Heartbeat, ageMs: number, nowMs: number): void {
-    if (!this.endpoints.beat(beat, ageMs, nowMs)) return;
-    const { endpointId, running, waiting } = beat;
+  /** Applies a short heartbeat. */
+  applyHeartbeat(heartbeat: Heartbeat, ageMs: number, nowMs: number): void {
+    if (!this.endpoints.beat(heartbeat, ageMs, nowMs)) return;
+    const { endpointId, running, waiting } = heartbeat;
     const capacity = this.loads.capacity(endpointId);
     this.loads.report(endpointId, running + waiting, capacity, ageMs, nowMs);
   }
 
-  /** Endpoints that new work of a row may go to. */
+  /** Returns the endpoints to which new requests of a row may be sent. */
   endpointsOf(row: ServiceRow, nowMs: number): KnownEndpoint[] {
     if (row.kind === 'plain') {
       return this.endpoints.forService(`${row.workspace}/${row.service}`, nowMs);
@@ -77,7 +77,7 @@
     return [...found.values()];
   }
 
-  /** Chooses an endpoint for a request. */
+  /** Chooses an endpoint for a request; undefined if none is usable. */
   route(query: RouteQuery, nowMs: number): KnownEndpoint | undefined {
     const usable = this.endpointsOf(query.row, nowMs).filter(
       ({ announcement }) => !query.excluded.has(announcement.endpointId),
@@ -92,8 +92,8 @@
     return usable.find(({ announcement }) => announcement.endpointId === chosen?.endpointId);
   }
 
-  /** Notes that a turn of a session ran at an endpoint. */
-  noteSession(sessionId: string, endpointId: string): void {
+  /** Records the endpoint that executed the latest request of a session. */
+  recordSession(sessionId: string, endpointId: string): void {
     this.sessionEndpoints.delete(sessionId);
     this.sessionEndpoints.set(sessionId, endpointId);
     if (this.sessionEndpoints.size <= MAX_REMEMBERED_SESSIONS) return;
@@ -101,22 +101,22 @@
     if (oldest !== undefined) this.sessionEndpoints.delete(oldest);
   }
 
-  /** Forgets a closed session. */
+  /** Removes a closed session. */
   closeSession(sessionId: string): void {
     this.sessionEndpoints.delete(sessionId);
   }
 
-  /** Endpoint of the last turn of a session, as far as this entry knows. */
+  /** Returns the endpoint of the latest known request of a session. */
   sessionEndpoint(sessionId: string): string | undefined {
     return this.sessionEndpoints.get(sessionId);
   }
 
-  /** Sessions and their endpoints, for a peer that takes them over. */
+  /** Returns the sessions and their endpoints, for the peers that take them over. */
   sessionHints(): [string, string][] {
     return [...this.sessionEndpoints];
   }
 
-  /** Online load and learnt capacity of the endpoints of a row. */
+  /** Returns the total online load and learned capacity of the endpoints of a row. */
   pressure(row: ServiceRow, nowMs: number): { load: number; capacity: number } {
     let load = 0;
     let capacity = 0;
@@ -127,7 +127,7 @@
     return { load, capacity };
   }
 
-  /** Learnt concurrency of an endpoint. */
+  /** Returns the learned concurrency limit of an endpoint. */
   limitOf(endpointId: string, row: ServiceRow): ConcurrencyLimit {
     const known = this.limits.get(endpointId);
     if (known !== undefined) return known;
@@ -141,7 +141,7 @@
     return limit;
   }
 
-  /** Load of this entry's part of the fleet, from 0 to 1. */
+  /** Returns the utilization of the endpoints that this entry observes, from 0 to 1. */
   utilization(nowMs: number): number {
     let load = 0;
     let capacity = 0;
@@ -152,8 +152,8 @@
     return capacity === 0 ? 1 : Math.min(1, load / capacity);
   }
 
-  /** Forgets what has long been gone. */
-  forgetGone(nowMs: number): void {
+  /** Removes endpoints from which nothing was received for long, with their learned state. */
+  removeExpired(nowMs: number): void {
     this.endpoints.forgetSilent(nowMs);
     for (const endpointId of this.limits.keys()) {
       if (this.endpoints.get(endpointId) !== undefined) continue;
@@ -168,7 +168,7 @@
     return {
       endpointId,
       availabilityZone,
-      // Batch streams give way, but not before the step that runs: they cost a little.
+      // Batch streams yield, but only after the current step, so they count with a small weight.
       load: this.loads.online(endpointId, nowMs) + 0.25 * this.loads.batch(endpointId, nowMs),
       capacity: load.capacity,
       slowStartShare: this.endpoints.slowStartShare(endpointId, nowMs),
@@ -181,8 +181,8 @@
   ): { sessionEndpointId?: string } {
     if (sessionId === undefined) return {};
     const ids = usable.map(({ announcement }) => announcement.endpointId);
-    const remembered = this.sessionEndpoints.get(sessionId);
-    const endpoint = remembered ?? sessionHome(sessionId, ids);
-    return endpoint === undefined ? {} : { sessionEndpointId: endpoint };
+    const lastEndpoint = this.sessionEndpoints.get(sessionId);
+    const preferred = lastEndpoint ?? sessionHome(sessionId, ids);
+    return preferred === undefined ? {} : { sessionEndpointId: preferred };
   }
 }
--- a/packages/entry/src/held-items.ts
+++ b/packages/entry/src/held-items.ts
@@ -1,16 +1,15 @@
 /**
- * Batch items that this entry holds: waiting for room, running, or ended and not yet
- * committed.
+ * Batch items leased to this entry: waiting for a free slot or running.
  */
 import type { ItemLease, LeasedItem } from '@shedline/types';
 
-/** An item that waits or runs here. */
+/** A leased item that waits or runs on this entry. */
 export interface HeldItem {
   readonly group: number;
   readonly lease: ItemLease;
   readonly item: LeasedItem;
   readonly row: string;
-  /** Tokens generated before it last had to yield. */
+  /** Tokens generated before the item last yielded; generation resumes after them. */
   tokens: string[];
   readonly heldSinceMs: number;
 }
@@ -18,26 +17,31 @@
 interface HeldLease {
   readonly group: number;
   readonly lease: ItemLease;
-  readonly open: Set<number>;
+  readonly openIndexes: Set<number>;
   renewedAtMs: number;
 }
 
-/** Leases of this entry and what is left of them. */
+/** Leases of this entry and their unfinished items. */
 export class HeldItems {
   private readonly leases = new Map<string, HeldLease>();
   private waiting: HeldItem[] = [];
 
-  /** Items that wait for room. */
+  /** Number of items that wait for a free slot. */
   get waitingCount(): number {
     return this.waiting.length;
   }
 
-  /** Takes granted leases. */
+  /** Adds granted leases and queues their items. */
   add(group: number, leases: readonly ItemLease[], nowMs: number): void {
     for (const lease of leases) {
       if (lease.items.length === 0) continue;
-      const open = new Set(lease.items.map((item) => item.index));
-      this.leases.set(leaseKey(group, lease.leaseId), { group, lease, open, renewedAtMs: nowMs });
+      const openIndexes = new Set(lease.items.map((item) => item.index));
+      this.leases.set(leaseKey(group, lease.leaseId), {
+        group,
+        lease,
+        openIndexes,
+        renewedAtMs: nowMs,
+      });
       const row = `${lease.workspace}/${lease.service}`;
       for (const item of lease.items) {
         this.waiting.push({ group, lease, item, row, tokens: [], heldSinceMs: nowMs });
@@ -45,40 +49,40 @@
     }
   }
 
-  /** Puts an item back at the front: it has waited longest. */
-  putBack(item: HeldItem): void {
+  /** Puts an item back at the front of the queue, because it has waited longest. */
+  requeue(item: HeldItem): void {
     if (this.isOpen(item)) this.waiting.unshift(item);
   }
 
-  /** Takes the first waiting item that fits. */
-  take(fits: (item: HeldItem) => boolean): HeldItem | undefined {
-    const index = this.waiting.findIndex((item) => this.isOpen(item) && fits(item));
+  /** Removes and returns the first waiting item for which `mayRun` holds. */
+  takeFirst(mayRun: (item: HeldItem) => boolean): HeldItem | undefined {
+    const index = this.waiting.findIndex((item) => this.isOpen(item) && mayRun(item));
     return index === -1 ? undefined : this.waiting.splice(index, 1)[0];
   }
 
-  /** Takes the items that have waited too long, to hand them back. */
+  /** Removes and returns the items held since before a time, to return them to the queue. */
   takeOverdue(beforeMs: number): HeldItem[] {
     const overdue = this.waiting.filter((item) => item.heldSinceMs < beforeMs);
     this.waiting = this.waiting.filter((item) => item.heldSinceMs >= beforeMs);
     return overdue;
   }
 
-  /** Whether the item is still this entry's. */
+  /** Whether the item is still leased to this entry and unfinished. */
   isOpen(item: HeldItem): boolean {
     const lease = this.leases.get(leaseKey(item.group, item.lease.leaseId));
-    return lease?.open.has(item.item.index) === true;
+    return lease?.openIndexes.has(item.item.index) === true;
   }
 
-  /** Notes that an item ended or went back. */
+  /** Records that an item has finished or was returned. */
   close(item: HeldItem): void {
     const key = leaseKey(item.group, item.lease.leaseId);
     const lease = this.leases.get(key);
     if (lease === undefined) return;
-    lease.open.delete(item.item.index);
-    if (lease.open.size === 0) this.leases.delete(key);
+    lease.openIndexes.delete(item.item.index);
+    if (lease.openIndexes.size === 0) this.leases.delete(key);
   }
 
-  /** Open leases by group. */
+  /** Returns the ids of the open leases by group. */
   leasesByGroup(): Map<number, string[]> {
     const byGroup = new Map<number, string[]>();
     for (const { group, lease } of this.leases.values()) {
@@ -87,30 +91,30 @@
     return byGroup;
   }
 
-  /** Notes that leases were renewed at a time; forgets those that were closed. */
-  renewed(
+  /** Records that leases were renewed at `requestedAtMs`; removes the closed ones. */
+  recordRenewal(
     group: number,
     leaseIds: readonly string[],
     closed: readonly string[],
-    askedAtMs: number,
+    requestedAtMs: number,
   ): void {
     for (const leaseId of leaseIds) {
       const lease = this.leases.get(leaseKey(group, leaseId));
-      if (lease !== undefined) lease.renewedAtMs = askedAtMs;
+      if (lease !== undefined) lease.renewedAtMs = requestedAtMs;
     }
     for (const leaseId of closed) this.leases.delete(leaseKey(group, leaseId));
   }
 
-  /** Gives up leases that were not renewed since a time. */
-  dropSilent(beforeMs: number): void {
+  /** Removes leases that were not renewed since a time, with their waiting items. */
+  dropExpired(beforeMs: number): void {
     for (const [key, lease] of this.leases) {
       if (lease.renewedAtMs < beforeMs) this.leases.delete(key);
     }
     this.waiting = this.waiting.filter((item) => this.isOpen(item));
   }
 
-  /** Takes all waiting items, at a planned stop. */
-  takeAll(): HeldItem[] {
+  /** Removes and returns all waiting items, for a planned stop. */
+  takeAllWaiting(): HeldItem[] {
     const all = this.waiting;
     this.waiting = [];
     return all;
--- a/packages/entry/src/job-upload.ts
+++ b/packages/entry/src/job-upload.ts
@@ -1,6 +1,6 @@
 /**
- * Reads a chunk of items: checked whole before any of it is stored, in slices, so that a
- * large one does not keep the event loop from the streams.
+ * Parses an uploaded chunk of job items. The whole chunk is validated before any of it is stored,
+ * in slices, so that a large chunk does not block the event loop and delay streams.
  */
 import { z } from 'zod';
 import { invalid } from './http-support.js';
@@ -10,19 +10,19 @@
   body: z.looseObject({}),
 });
 
-/** Lines checked in one turn of the event loop. */
+/** Number of lines validated before yielding to the event loop. */
 const LINES_PER_SLICE = 256;
-/** Largest part of a chunk in one command. */
+/** Maximum size of the part of a chunk that one command stores. */
 const MAX_PART_BYTES = 256 * 1024;
 const MAX_PART_ITEMS = 512;
 
-/** Items of one command. */
+/** Consecutive items that one command stores. */
 export interface ItemPart {
   readonly fromIndex: number;
   readonly lines: readonly string[];
 }
 
-/** Checks a chunk and cuts it into parts; an error names the line. */
+/** Validates a chunk and splits it into parts; an error names the invalid line. */
 export async function readItemParts(options: {
   readonly body: Buffer;
   readonly fromIndex: number;
@@ -34,7 +34,7 @@
   let part: string[] = [];
   let partBytes = 0;
   for (const [position, line] of lines.entries()) {
-    if (position % LINES_PER_SLICE === 0) await nextTurn();
+    if (position % LINES_PER_SLICE === 0) await yieldToEventLoop();
     checkLine(line, position + 1, options.maxItemBytes, customIds);
     if (part.length >= MAX_PART_ITEMS || partBytes + line.length > MAX_PART_BYTES) {
       parts.push({ fromIndex: options.fromIndex + position - part.length, lines: part });
@@ -69,7 +69,7 @@
   try {
     value = JSON.parse(line);
   } catch {
-    throw invalid(`line ${lineNumber}: is no JSON; nothing of this chunk was stored`);
+    throw invalid(`line ${lineNumber}: is not valid JSON; no item of this chunk was stored`);
   }
   const result = itemSchema.safeParse(value);
   if (!result.success) {
@@ -77,16 +77,16 @@
     const field = issue?.path.join('.') ?? '';
     throw invalid(
       `line ${lineNumber}: ${field === '' ? 'item' : field}: ${issue?.message ?? ''}; ` +
-        'nothing of this chunk was stored',
+        'no item of this chunk was stored',
     );
   }
   const { customId } = result.data;
   if (customIds.has(customId)) {
-    throw invalid(`line ${lineNumber}: customId ${customId} stands twice in this chunk`);
+    throw invalid(`line ${lineNumber}: customId ${customId} occurs twice in this chunk`);
   }
   customIds.add(customId);
 }
 
-function nextTurn(): Promise<void> {
+function yieldToEventLoop(): Promise<void> {
   return new Promise((resolve) => setImmediate(resolve));
 }
--- a/packages/entry/src/jobs-api.ts
+++ b/packages/entry/src/jobs-api.ts
@@ -1,5 +1,5 @@
 /**
- * `/v1/jobs`: batch jobs of callers.
+ * `/v1/jobs`: HTTP handlers for batch jobs.
  */
 import { once } from 'node:events';
 import { RESPONSE_ALREADY_SENT } from '@hono/node-server/utils/response';
@@ -9,7 +9,7 @@
 import { groupOfJobId, jobIdOf } from '@shedline/jobs';
 import type { JobAnswer, JobGroupAnswer, Refusal, ResultLine } from '@shedline/jobs';
 import type { JobView } from '@shedline/types';
-import { invalid, notFound, queryIndex, readBody, readJson } from './http-support.js';
+import { invalid, notFound, queryWholeNumber, readBody, readJson } from './http-support.js';
 import type { EntryHttpContext } from './http-support.js';
 import { readItemParts } from './job-upload.js';
 import type { TableReader } from './table-reader.js';
@@ -25,7 +25,7 @@
 const SMALL_BODY_BYTES = 64 * 1024;
 const RESULT_PAGE_BYTES = 256 * 1024;
 
-/** What the handlers need. */
+/** Options of {@link JobsApi}. */
 export interface JobsApiOptions {
   readonly control: ControlClient;
   readonly reader: TableReader;
@@ -33,7 +33,7 @@
   readonly maxItemBytes: number;
 }
 
-/** Handlers of batch jobs. */
+/** Handles requests about batch jobs. */
 export class JobsApi {
   private readonly options: JobsApiOptions;
 
@@ -50,7 +50,7 @@
     const { control } = this.options;
     const { jobKey, dueAtMs } = body;
     const group = await control.groupOfKey(JSON.stringify([workspace, jobKey]));
-    const answer = await control.proposeJob(group, {
+    const reply = await control.proposeJob(group, {
       type: 'createJob',
       jobId: jobIdOf(group, workspace, jobKey),
       workspace,
@@ -60,14 +60,14 @@
       idempotent: body.idempotent ?? row.idempotent,
       pastDue: row.pastDue,
     });
-    const { created, job } = jobAnswer(answer);
+    const { created, job } = unwrapJobAnswer(reply);
     return c.json(job, created ? 201 : 200);
   }
 
   /** `PUT /v1/jobs/:id/items?from=N` */
   async putItems(c: EntryHttpContext, workspace: string): Promise<Response> {
-    const { jobId, group } = this.jobOf(c);
-    const fromIndex = queryIndex(c, 'from');
+    const { jobId, group } = this.jobFromPath(c);
+    const fromIndex = queryWholeNumber(c, 'from');
     const body = await readBody(c.env.incoming, this.options.maxChunkBytes);
     const { maxItemBytes, control } = this.options;
     const parts = await readItemParts({ body, fromIndex, maxItemBytes });
@@ -75,29 +75,29 @@
     if (job === undefined) throw notFound(`there is no job ${jobId}`);
     for (const part of parts) {
       const command = { type: 'putItems', jobId, workspace, ...part } as const;
-      job = jobAnswer(await control.proposeJob(group, command)).job;
+      job = unwrapJobAnswer(await control.proposeJob(group, command)).job;
     }
     return c.json({ jobId, received: job.received });
   }
 
   /** `POST /v1/jobs/:id/seal` */
   async seal(c: EntryHttpContext, workspace: string): Promise<Response> {
-    const { jobId, group } = this.jobOf(c);
+    const { jobId, group } = this.jobFromPath(c);
     const { itemCount } = await readJson(c, sealSchema, SMALL_BODY_BYTES);
     const command = { type: 'sealJob', jobId, workspace, itemCount } as const;
-    return c.json(jobAnswer(await this.options.control.proposeJob(group, command)).job);
+    return c.json(unwrapJobAnswer(await this.options.control.proposeJob(group, command)).job);
   }
 
   /** `POST /v1/jobs/:id/cancel` */
   async cancel(c: EntryHttpContext, workspace: string): Promise<Response> {
-    const { jobId, group } = this.jobOf(c);
+    const { jobId, group } = this.jobFromPath(c);
     const command = { type: 'cancelJob', jobId, workspace } as const;
-    return c.json(jobAnswer(await this.options.control.proposeJob(group, command)).job);
+    return c.json(unwrapJobAnswer(await this.options.control.proposeJob(group, command)).job);
   }
 
   /** `GET /v1/jobs/:id` */
-  async show(c: EntryHttpContext, workspace: string): Promise<Response> {
-    const { jobId, group } = this.jobOf(c);
+  async get(c: EntryHttpContext, workspace: string): Promise<Response> {
+    const { jobId, group } = this.jobFromPath(c);
     const job = await this.options.control.job(group, jobId, workspace);
     if (job === undefined) throw notFound(`there is no job ${jobId}`);
     return c.json(job);
@@ -115,8 +115,8 @@
 
   /** `GET /v1/jobs/:id/results?from=N` */
   async results(c: EntryHttpContext, workspace: string): Promise<Response> {
-    const { jobId, group } = this.jobOf(c);
-    const fromIndex = queryIndex(c, 'from');
+    const { jobId, group } = this.jobFromPath(c);
+    const fromIndex = queryWholeNumber(c, 'from');
     const page = { jobId, workspace, maxBytes: RESULT_PAGE_BYTES };
     let current = await this.options.control.results(group, { ...page, fromIndex });
     if (current === undefined) throw notFound(`there is no job ${jobId}`);
@@ -124,8 +124,8 @@
     outgoing.writeHead(200, { 'content-type': 'application/x-ndjson' });
     for (;;) {
       const text = current.lines.map((line) => `${resultText(line)}\n`).join('');
-      // Reading on waits for a caller that reads slowly.
-      if (text !== '' && !outgoing.write(text)) await drained(outgoing);
+      // Pauses while the caller reads more slowly than the results are loaded.
+      if (text !== '' && !outgoing.write(text)) await waitForDrain(outgoing);
       if (current.nextIndex >= current.total || outgoing.destroyed) break;
       const next = await this.options.control.results(group, {
         ...page,
@@ -139,13 +139,13 @@
   }
 
   private serviceOf(name: string, workspace: string): string {
-    const [first = '', second] = name.split('/');
-    if (second === undefined) return first;
-    if (first === workspace) return second;
+    const [prefix = '', service] = name.split('/');
+    if (service === undefined) return prefix;
+    if (prefix === workspace) return service;
     throw notFound(`service: there is no service ${name}`);
   }
 
-  private jobOf(c: EntryHttpContext): { jobId: string; group: number } {
+  private jobFromPath(c: EntryHttpContext): { jobId: string; group: number } {
     const jobId = c.req.param('id') ?? '';
     const group = groupOfJobId(jobId);
     if (group === undefined) throw notFound(`there is no job ${jobId}`);
@@ -153,29 +153,34 @@
   }
 }
 
-async function drained(outgoing: NodeJS.EventEmitter): Promise<void> {
-  const ended = new AbortController();
-  const { signal } = ended;
+/** Waits until the connection accepts data again or is closed. */
+async function waitForDrain(outgoing: NodeJS.EventEmitter): Promise<void> {
+  const done = new AbortController();
+  const { signal } = done;
   await Promise.race([
     once(outgoing, 'drain', { signal }).catch(() => undefined),
     once(outgoing, 'close', { signal }).catch(() => undefined),
   ]);
-  ended.abort();
+  done.abort();
 }
 
 function resultText(line: ResultLine): string {
-  const head = JSON.stringify({ index: line.index, customId: line.customId, status: line.status });
+  const fields = JSON.stringify({
+    index: line.index,
+    customId: line.customId,
+    status: line.status,
+  });
   const cancelled = '{"type":"cancelled","message":"the job was cancelled"}';
   const field = line.status === 'completed' ? 'response' : 'error';
-  return `${head.slice(0, -1)},"${field}":${line.body ?? cancelled}}`;
+  return `${fields.slice(0, -1)},"${field}":${line.body ?? cancelled}}`;
 }
 
-function jobAnswer(answer: JobGroupAnswer): JobAnswer {
-  if (!answer.ok) throw refusalError(answer);
-  return answer as JobAnswer;
+function unwrapJobAnswer(reply: JobGroupAnswer): JobAnswer {
+  if (!reply.ok) throw errorOfRefusal(reply);
+  return reply as JobAnswer;
 }
 
-function refusalError(refusal: Refusal): ShedlineError {
+function errorOfRefusal(refusal: Refusal): ShedlineError {
   if (refusal.reason === 'notFound') return notFound(refusal.message);
   if (refusal.reason === 'invalid') return invalid(refusal.message);
   const { message } = refusal;
--- a/packages/entry/src/online-run.ts
+++ b/packages/entry/src/online-run.ts
@@ -1,6 +1,6 @@
 /**
- * Runs one online generation: chooses endpoints, repeats what may be repeated, and resumes an
- * interrupted answer elsewhere from the tokens already sent.
+ * Runs one online generation: chooses an endpoint, retries if permitted, and resumes an interrupted
+ * response on another endpoint after the tokens already sent.
  */
 import { mayRetry, ranAfter } from '@shedline/admission';
 import type { SendProgress } from '@shedline/admission';
@@ -11,12 +11,12 @@
 import type { ServiceRow } from '@shedline/types';
 import type { KnownEndpoint } from '@shedline/directory';
 import type { AdmissionController } from './admission-controller.js';
-import type { Usage } from './answer-check.js';
+import type { Usage } from './stream-validator.js';
 import type { EndpointDriver, GenerateOutcome } from './endpoint-driver.js';
 import type { FleetView } from './fleet-view.js';
 import type { TableReader } from './table-reader.js';
 
-/** What runs need of their entry. */
+/** Parts of the entry that online requests use. */
 export interface OnlineContext {
   readonly fleet: FleetView;
   readonly reader: TableReader;
@@ -26,8 +26,8 @@
   readonly latencies: LatencyRecorder;
   readonly burn: BurnRecorder;
   readonly nowMs: () => number;
-  /** Told when online work begins at an endpoint, so that batch work there can yield. */
-  readonly onlineStarted: (endpointId: string) => void;
+  /** Called when online work starts at an endpoint, so that batch work there can yield. */
+  readonly onOnlineStart: (endpointId: string) => void;
 }
 
 /** One online request. */
@@ -40,12 +40,12 @@
   readonly sessionId: string | undefined;
   readonly idempotent: boolean;
   readonly deadlineMs: number;
-  /** Aborted when the caller goes away. */
+  /** Aborted when the caller disconnects. */
   readonly signal: AbortSignal;
   readonly onToken: (text: string) => void;
 }
 
-/** A whole answer. */
+/** A complete response. */
 export interface OnlineAnswer {
   readonly finishReason: string;
   readonly usage: Usage | undefined;
@@ -53,6 +53,7 @@
 }
 
 const MAX_ATTEMPTS = 4;
+/** Timeouts are multiples of the targets of the row, but not below these minimums. */
 const MIN_FIRST_TOKEN_TIMEOUT_MS = 3000;
 const FIRST_TOKEN_TIMEOUT_FACTOR = 8;
 const MIN_STALL_TIMEOUT_MS = 1500;
@@ -60,8 +61,8 @@
 const CACHE_MOVE_TIMEOUT_MS = 150;
 const UNAVAILABLE_RETRY_MS = 500;
 
-/** Longest silence of an engine before its first token and between two. */
-export function silenceBounds(row: ServiceRow): {
+/** Returns the maximum times until the first token of an engine and between two tokens. */
+export function streamTimeouts(row: ServiceRow): {
   firstTokenTimeoutMs: number;
   stallTimeoutMs: number;
 } {
@@ -75,7 +76,7 @@
   };
 }
 
-/** One run of one request. */
+/** Execution of one request, with all its attempts. */
 export class OnlineRun {
   private readonly context: OnlineContext;
   private readonly request: OnlineRequest;
@@ -83,9 +84,9 @@
   private readonly startedMs: number;
   private readonly prefixes: readonly string[];
   private readonly tokens: string[] = [];
-  private readonly sends: SendProgress[] = [];
+  private readonly attempts: SendProgress[] = [];
   private readonly excluded = new Set<string>();
-  private readonly gaps: LatencyHistogram;
+  private readonly tokenGaps: LatencyHistogram;
   private lastTokenMs = 0;
 
   constructor(context: OnlineContext, request: OnlineRequest) {
@@ -94,25 +95,25 @@
     this.service = rowKey(request.row.workspace, request.row.service);
     this.startedMs = context.nowMs();
     this.prefixes = prefixHashes(request.prompt);
-    this.gaps = context.latencies.histogram(this.service, 'online', 'betweenTokens');
+    this.tokenGaps = context.latencies.histogram(this.service, 'online', 'betweenTokens');
   }
 
-  /** Runs to the end; throws an error that truly says whether anything ran. */
+  /** Runs until the response is complete; throws an error that states whether the request ran. */
   async run(): Promise<OnlineAnswer> {
     for (;;) {
       const endpoint = this.chooseEndpoint();
-      if (endpoint === undefined) throw this.noEndpoint();
-      const outcome = await this.sendTo(endpoint);
+      if (endpoint === undefined) throw this.noEndpointError();
+      const outcome = await this.attempt(endpoint);
       if (outcome.kind === 'complete') {
         return this.complete(outcome, endpoint.announcement.endpointId);
       }
-      this.noteFailure(endpoint, outcome);
-      if (this.request.signal.aborted) throw this.givenUp();
-      if (!this.mayGoOn(outcome)) throw this.failure(endpoint, outcome);
+      this.recordFailure(endpoint, outcome);
+      if (this.request.signal.aborted) throw this.disconnectError();
+      if (!this.mayRetryAfter(outcome)) throw this.failureError(endpoint, outcome);
     }
   }
 
-  private leftMs(): number {
+  private remainingMs(): number {
     return this.request.deadlineMs - (this.context.nowMs() - this.startedMs);
   }
 
@@ -122,25 +123,25 @@
     return this.context.fleet.route(query, this.context.nowMs());
   }
 
-  private async sendTo(endpoint: KnownEndpoint): Promise<GenerateOutcome> {
-    const { fleet, driver, onlineStarted } = this.context;
+  private async attempt(endpoint: KnownEndpoint): Promise<GenerateOutcome> {
+    const { fleet, driver, onOnlineStart } = this.context;
     const { endpointId, url } = endpoint.announcement;
     const { request } = this;
-    await this.bringCache(endpoint);
+    await this.moveSessionCache(endpoint);
     fleet.loads.change(endpointId, 'online', 1);
     fleet.endpoints.sent(endpointId);
-    onlineStarted(endpointId);
+    onOnlineStart(endpointId);
     try {
       return await driver.generate({
         url,
-        requestId: `${request.requestId}-${this.sends.length}`,
+        requestId: `${request.requestId}-${this.attempts.length}`,
         path: request.path,
         body: request.body,
         resumeTokens: [...this.tokens],
-        lane: 'online',
+        connectionClass: 'online',
         signal: request.signal,
-        deadlineMs: Math.max(1, this.leftMs()),
-        ...silenceBounds(request.row),
+        deadlineMs: Math.max(1, this.remainingMs()),
+        ...streamTimeouts(request.row),
         onToken: (text) => {
           this.onToken(text, endpointId);
         },
@@ -150,31 +151,32 @@
     }
   }
 
-  /** A session whose endpoint leaves takes its cache along. */
-  private async bringCache(endpoint: KnownEndpoint): Promise<void> {
+  /** Moves the KV cache of a session whose last endpoint drains to the chosen endpoint. */
+  private async moveSessionCache(endpoint: KnownEndpoint): Promise<void> {
     const { fleet, driver, nowMs } = this.context;
     const { sessionId, prompt } = this.request;
     if (sessionId === undefined || this.prefixes.length === 0) return;
     const lastId = fleet.sessionEndpoint(sessionId);
     if (lastId === undefined || lastId === endpoint.announcement.endpointId) return;
-    const last = fleet.endpoints.get(lastId);
-    const isLeaving = last?.announcement.leaving === true;
-    const isUp = last !== undefined && fleet.endpoints.live(nowMs()).includes(last);
-    if (!isLeaving || !isUp) return;
+    const lastEndpoint = fleet.endpoints.get(lastId);
+    const isLeaving = lastEndpoint?.announcement.leaving === true;
+    const isLive =
+      lastEndpoint !== undefined && fleet.endpoints.live(nowMs()).includes(lastEndpoint);
+    if (!isLeaving || !isLive) return;
     const target = endpoint.announcement.url;
-    await driver.moveCache(last.announcement.url, target, prompt, CACHE_MOVE_TIMEOUT_MS);
+    await driver.moveCache(lastEndpoint.announcement.url, target, prompt, CACHE_MOVE_TIMEOUT_MS);
   }
 
   private onToken(text: string, endpointId: string): void {
     const nowMs = this.context.nowMs();
-    if (this.tokens.length === 0) this.noteFirstToken(nowMs, endpointId);
-    else this.noteNextToken(nowMs);
+    if (this.tokens.length === 0) this.recordFirstToken(nowMs, endpointId);
+    else this.recordNextToken(nowMs);
     this.lastTokenMs = nowMs;
     this.tokens.push(text);
     this.request.onToken(text);
   }
 
-  private noteFirstToken(nowMs: number, endpointId: string): void {
+  private recordFirstToken(nowMs: number, endpointId: string): void {
     const { latencies, burn, fleet } = this.context;
     const { row } = this.request;
     const latencyMs = nowMs - this.startedMs;
@@ -183,15 +185,15 @@
     fleet.endpoints.succeeded(endpointId, latencyMs, nowMs);
     fleet.prefixes.note(endpointId, this.prefixes);
     const { sessionId } = this.request;
-    if (sessionId !== undefined) fleet.noteSession(sessionId, endpointId);
+    if (sessionId !== undefined) fleet.recordSession(sessionId, endpointId);
     fleet.limitOf(endpointId, row).sample(latencyMs, fleet.loads.online(endpointId, nowMs));
   }
 
-  private noteNextToken(nowMs: number): void {
+  private recordNextToken(nowMs: number): void {
     const gapMs = nowMs - this.lastTokenMs;
-    const met = gapMs <= this.request.row.targets.betweenTokensMs;
-    this.gaps.record(gapMs);
-    this.context.burn.record(this.service, 'betweenTokens', met, nowMs);
+    const isMet = gapMs <= this.request.row.targets.betweenTokensMs;
+    this.tokenGaps.record(gapMs);
+    this.context.burn.record(this.service, 'betweenTokens', isMet, nowMs);
   }
 
   private complete(
@@ -210,25 +212,25 @@
       service: this.service,
       durationMs,
       tokens: this.tokens.length,
-      attempts: this.sends.length + 1,
+      attempts: this.attempts.length + 1,
     });
     return { finishReason: outcome.finishReason, usage: outcome.usage, tokens: this.tokens };
   }
 
-  private noteFailure(
+  private recordFailure(
     endpoint: KnownEndpoint,
     outcome: GenerateOutcome & { kind: 'failed' },
   ): void {
     const { fleet, logger, nowMs } = this.context;
     const { endpointId } = endpoint.announcement;
-    this.sends.push(outcome.progress);
+    this.attempts.push(outcome.progress);
     if (this.request.signal.aborted) {
       fleet.endpoints.inconclusive(endpointId);
       return;
     }
     this.excluded.add(endpointId);
     if (!outcome.permanent) fleet.endpoints.failed(endpointId, nowMs());
-    logger.warn('endpoint failed a request', {
+    logger.warn('request failed at endpoint', {
       requestId: this.request.requestId,
       step: 'generate',
       peer: endpointId,
@@ -237,33 +239,33 @@
     });
   }
 
-  private mayGoOn(outcome: GenerateOutcome & { kind: 'failed' }): boolean {
+  private mayRetryAfter(outcome: GenerateOutcome & { kind: 'failed' }): boolean {
     if (outcome.permanent) return false;
-    const allowed = mayRetry({
+    const isAllowed = mayRetry({
       progress: outcome.progress,
       idempotent: this.request.idempotent,
-      attempts: this.sends.length,
+      attempts: this.attempts.length,
       maxAttempts: MAX_ATTEMPTS,
-      leftMs: this.leftMs(),
+      leftMs: this.remainingMs(),
       hasAlternative: this.chooseEndpoint() !== undefined,
     });
-    return allowed && this.context.admission.budgetOf(this.service).takeRetry();
+    return isAllowed && this.context.admission.budgetOf(this.service).takeRetry();
   }
 
-  private noEndpoint(): ShedlineError {
+  private noEndpointError(): ShedlineError {
     return new ShedlineError({
       type: 'unavailable',
-      message: `no endpoint of ${this.service} is up; come back later`,
+      message: `no endpoint of ${this.service} is available; retry later`,
       step: 'choose endpoint',
       peer: this.service,
-      ran: ranAfter(this.sends),
+      ran: ranAfter(this.attempts),
       retryAfterMs: UNAVAILABLE_RETRY_MS,
     });
   }
 
-  private givenUp(): ShedlineError {
-    const message = 'the caller went away';
-    const ran = ranAfter(this.sends);
+  private disconnectError(): ShedlineError {
+    const message = 'the caller disconnected';
+    const ran = ranAfter(this.attempts);
     return new ShedlineError({
       type: 'endpoint_failed',
       message,
@@ -273,24 +275,24 @@
     });
   }
 
-  private failure(
+  private failureError(
     endpoint: KnownEndpoint,
     outcome: GenerateOutcome & { kind: 'failed' },
   ): ShedlineError {
-    const late = this.leftMs() <= 0;
-    const type = late
+    const isPastDeadline = this.remainingMs() <= 0;
+    const type = isPastDeadline
       ? 'deadline_exceeded'
       : outcome.permanent
         ? 'invalid_request'
         : 'endpoint_failed';
-    const refused = outcome.progress !== 'sent' && !outcome.permanent;
+    const isNotExecuted = outcome.progress !== 'sent' && !outcome.permanent;
     return new ShedlineError({
-      type: refused && !late ? 'unavailable' : type,
-      message: late ? 'the deadline of the request has passed' : outcome.message,
+      type: isNotExecuted && !isPastDeadline ? 'unavailable' : type,
+      message: isPastDeadline ? 'the deadline of the request has passed' : outcome.message,
       step: 'generate',
       peer: endpoint.announcement.endpointId,
-      ran: ranAfter(this.sends),
-      ...(refused ? { retryAfterMs: UNAVAILABLE_RETRY_MS } : {}),
+      ran: ranAfter(this.attempts),
+      ...(isNotExecuted ? { retryAfterMs: UNAVAILABLE_RETRY_MS } : {}),
     });
   }
 }
--- a/packages/entry/src/operator-api.ts
+++ b/packages/entry/src/operator-api.ts
@@ -1,5 +1,5 @@
 /**
- * What operators call: the table, status, orders.
+ * HTTP handlers for operators: the table and orders to endpoints.
  */
 import { randomUUID } from 'node:crypto';
 import { z } from 'zod';
@@ -28,14 +28,14 @@
   subject: z.string().min(1),
 });
 
-/** What the handlers need. */
+/** Options of {@link OperatorApi}. */
 export interface OperatorApiOptions {
   readonly control: ControlClient;
   readonly fleet: FleetView;
   readonly reader: TableReader;
 }
 
-/** Handlers of operators' calls. */
+/** Handles requests of operators. */
 export class OperatorApi {
   private readonly options: OperatorApiOptions;
 
@@ -44,7 +44,7 @@
   }
 
   /** `GET /v1/table` */
-  async table(c: EntryHttpContext): Promise<Response> {
+  async getTable(c: EntryHttpContext): Promise<Response> {
     const { revision, models, rows } = await this.readTable();
     return c.json({ revision, models, rows });
   }
@@ -60,12 +60,12 @@
     const body = await readBody(c.env.incoming, MAX_TABLE_BYTES);
     const change = parseRowChange(parseJson(body.toString()));
     const content = { workspace, service, expectedRevision, change };
-    const answer = await this.edit(c, { type: 'editRow', ...content }, content);
-    return c.json({ revision: answer.revision, row: answer.row });
+    const reply = await this.edit(c, { type: 'editRow', ...content }, content);
+    return c.json({ revision: reply.revision, row: reply.row });
   }
 
-  /** `PUT /v1/table`: the whole table as one edit, or what it would change. */
-  async apply(c: EntryHttpContext): Promise<Response> {
+  /** `PUT /v1/table`: replaces the table in one edit; a dry run returns only the difference. */
+  async replaceTable(c: EntryHttpContext): Promise<Response> {
     const body = await readJson(c, applySchema, MAX_TABLE_BYTES);
     const file = parseTableFile(body.table);
     const rows = file.rows.map(({ workspace, service, ...change }) => ({
@@ -73,26 +73,26 @@
       service,
       change,
     }));
-    const before = await this.readTable();
-    const known = new Map(before.rows.map((row) => [rowKey(row.workspace, row.service), row]));
+    const current = await this.readTable();
+    const known = new Map(current.rows.map((row) => [rowKey(row.workspace, row.service), row]));
     const changes = planReplacement(known, rows);
     const diff = [...changes].map(([key, fields]) => ({
       row: key,
       before: known.get(key) ?? null,
       after: fields ?? null,
     }));
-    if (body.dryRun) return c.json({ revision: before.revision, diff });
+    if (body.dryRun) return c.json({ revision: current.revision, diff });
     const { expectedRevision } = body;
     const content = { expectedRevision, models: file.models, rows };
-    const answer = await this.edit(c, { type: 'replaceTable', ...content }, content);
-    return c.json({ revision: answer.revision, diff });
+    const reply = await this.edit(c, { type: 'replaceTable', ...content }, content);
+    return c.json({ revision: reply.revision, diff });
   }
 
-  /** `GET /v1/table/revisions/:n` */
-  async inForce(c: EntryHttpContext): Promise<Response> {
+  /** `GET /v1/table/revisions/:revision` */
+  async revisionStatus(c: EntryHttpContext): Promise<Response> {
     const revision = Number(c.req.param('revision'));
     if (!Number.isSafeInteger(revision) || revision < 0) {
-      throw invalid('revision: must be a whole number from 0');
+      throw invalid('revision: must be a non-negative integer');
     }
     const { revision: latest } = await this.readTable();
     if (revision > latest) throw notFound(`the table is at revision ${latest}`);
@@ -103,17 +103,18 @@
   async placeOrder(c: EntryHttpContext): Promise<Response> {
     const body = await readJson(c, orderSchema, 64 * 1024);
     const endpoint = this.options.fleet.endpoints.get(body.endpointId)?.announcement;
-    if (endpoint === undefined) throw notFound(`endpointId: ${body.endpointId} is not known here`);
+    if (endpoint === undefined)
+      throw notFound(`endpointId: ${body.endpointId} is not a known endpoint`);
     const { url, checksFencing } = endpoint;
     const { endpointId, kind, subject } = body;
     const orderId = body.orderId ?? randomUUID();
     const order = { orderId, endpointId, url, checksFencing, kind, subject };
-    const answer = await this.options.control.proposeOrder({ type: 'placeOrder', order });
-    return c.json(answer.order, 202);
+    const reply = await this.options.control.proposeOrder({ type: 'placeOrder', order });
+    return c.json(reply.order, 202);
   }
 
   /** `GET /v1/orders` */
-  async orders(c: EntryHttpContext): Promise<Response> {
+  async listOrders(c: EntryHttpContext): Promise<Response> {
     return c.json({ orders: await this.options.control.orders() });
   }
 
@@ -131,13 +132,13 @@
       c.req.header('idempotency-key') ?? randomUUID(),
     );
     const contentHash = sha256Hex(JSON.stringify(content));
-    const answer = await this.options.control.proposeEdit({ ...command, editId, contentHash });
-    if (answer.outcome === 'accepted') {
-      // The operator's next call through this entry sees the edit.
-      await this.options.reader.reach(answer.revision);
-      return answer;
+    const reply = await this.options.control.proposeEdit({ ...command, editId, contentHash });
+    if (reply.outcome === 'accepted') {
+      // Ensures that the operator's next request to this entry sees the edit.
+      await this.options.reader.refreshUntil(reply.revision);
+      return reply;
     }
-    throw editRefused(answer);
+    throw errorOfRefusedEdit(reply);
   }
 }
 
@@ -149,9 +150,11 @@
   throw invalid('If-Match: must carry the table revision that the edit is based on');
 }
 
-function editRefused(answer: EditAnswer & { outcome: 'conflict' | 'invalid' }): ShedlineError {
-  if (answer.outcome === 'invalid') return invalid(answer.message);
-  const { message, revision, row } = answer;
+function errorOfRefusedEdit(
+  reply: EditAnswer & { outcome: 'conflict' | 'invalid' },
+): ShedlineError {
+  if (reply.outcome === 'invalid') return invalid(reply.message);
+  const { message, revision, row } = reply;
   return new ShedlineError({
     type: 'conflict',
     message,
--- a/packages/entry/src/result-committer.ts
+++ b/packages/entry/src/result-committer.ts
@@ -1,20 +1,20 @@
 /**
- * Commits results and returned items in groups, and repeats a commit until it is known to be
- * in the log: a commit that came twice changes nothing.
+ * Commits results and returned items in batches, and retries a commit until it is known to be in
+ * the log. A commit that arrives twice changes nothing.
  */
 import { setTimeout as pause } from 'node:timers/promises';
 import type { ControlClient } from '@shedline/control-client';
 import type { Logger } from '@shedline/logger';
 import type { ItemResult, ItemReturn } from '@shedline/types';
 
-const MAX_GROUP_COMMIT = 128;
-const GATHER_MS = 10;
-const RETRY_MS = 200;
+const MAX_ITEMS_PER_COMMIT = 128;
+const COMMIT_DELAY_MS = 10;
+const RETRY_INTERVAL_MS = 200;
 
 interface Outbox {
   results: ItemResult[];
   returns: ItemReturn[];
-  running: boolean;
+  isCommitting: boolean;
 }
 
 /** Options of {@link ResultCommitter}. */
@@ -22,25 +22,25 @@
   readonly control: ControlClient;
   readonly owner: string;
   readonly logger: Logger;
-  /** Told of returned items once the log has them. */
+  /** Called with the number of results after each commit. */
   readonly onCommitted?: (results: number) => void;
 }
 
-/** Sends results to the groups of their jobs. */
+/** Commits results to the consensus groups of their jobs. */
 export class ResultCommitter {
   private readonly options: ResultCommitterOptions;
   private readonly outboxes = new Map<number, Outbox>();
-  private stopped = false;
+  private isStopped = false;
 
   constructor(options: ResultCommitterOptions) {
     this.options = options;
   }
 
-  /** Results and returns that are not yet in the log. */
+  /** Number of results, returns and commits in progress that are not yet in the log. */
   get pending(): number {
     let count = 0;
     for (const outbox of this.outboxes.values()) {
-      count += outbox.results.length + outbox.returns.length + (outbox.running ? 1 : 0);
+      count += outbox.results.length + outbox.returns.length + (outbox.isCommitting ? 1 : 0);
     }
     return count;
   }
@@ -48,43 +48,43 @@
   /** Queues a result. */
   addResult(group: number, result: ItemResult): void {
     this.outboxOf(group).results.push(result);
-    this.kick(group);
+    this.startCommitting(group);
   }
 
-  /** Queues an item to hand back. */
+  /** Queues an item to be returned to its job. */
   addReturn(group: number, itemReturn: ItemReturn): void {
     this.outboxOf(group).returns.push(itemReturn);
-    this.kick(group);
+    this.startCommitting(group);
   }
 
-  /** Ends; what is not committed will be done again by others. */
+  /** Stops committing; uncommitted items run again elsewhere after their lease expires. */
   stop(): void {
-    this.stopped = true;
+    this.isStopped = true;
   }
 
   private outboxOf(group: number): Outbox {
     const known = this.outboxes.get(group);
     if (known !== undefined) return known;
-    const fresh: Outbox = { results: [], returns: [], running: false };
-    this.outboxes.set(group, fresh);
-    return fresh;
+    const created: Outbox = { results: [], returns: [], isCommitting: false };
+    this.outboxes.set(group, created);
+    return created;
   }
 
-  private kick(group: number): void {
+  private startCommitting(group: number): void {
     const outbox = this.outboxOf(group);
-    if (outbox.running) return;
-    outbox.running = true;
-    void this.drain(group, outbox);
+    if (outbox.isCommitting) return;
+    outbox.isCommitting = true;
+    void this.commitPending(group, outbox);
   }
 
-  private async drain(group: number, outbox: Outbox): Promise<void> {
-    await pause(GATHER_MS);
-    while (outbox.results.length + outbox.returns.length > 0 && !this.stopped) {
-      const results = outbox.results.splice(0, MAX_GROUP_COMMIT);
-      const returns = outbox.returns.splice(0, MAX_GROUP_COMMIT);
+  private async commitPending(group: number, outbox: Outbox): Promise<void> {
+    await pause(COMMIT_DELAY_MS);
+    while (outbox.results.length + outbox.returns.length > 0 && !this.isStopped) {
+      const results = outbox.results.splice(0, MAX_ITEMS_PER_COMMIT);
+      const returns = outbox.returns.splice(0, MAX_ITEMS_PER_COMMIT);
       await this.commit(group, results, returns);
     }
-    outbox.running = false;
+    outbox.isCommitting = false;
   }
 
   private async commit(
@@ -93,15 +93,15 @@
     returns: readonly ItemReturn[],
   ): Promise<void> {
     const { control, owner, logger, onCommitted } = this.options;
-    while (!this.stopped) {
+    while (!this.isStopped) {
       try {
         await control.proposeJob(group, { type: 'commitItems', owner, results, returns });
         onCommitted?.(results.length);
         return;
       } catch (error) {
         const reason = error instanceof Error ? error.message : String(error);
-        logger.warn('commit not accepted yet', { step: 'commit', group, reason });
-        await pause(RETRY_MS);
+        logger.warn('commit failed; retrying', { step: 'commit', group, reason });
+        await pause(RETRY_INTERVAL_MS);
       }
     }
   }
--- a/packages/entry/src/routes.ts
+++ b/packages/entry/src/routes.ts
@@ -26,7 +26,7 @@
 const sessionSchema = z.strictObject({ service: z.string().min(1) });
 const SMALL_BODY_BYTES = 16 * 1024;
 
-/** What the routes are made of. */
+/** Options of {@link createRoutes}. */
 export interface RoutesOptions {
   readonly authenticator: Authenticator;
   readonly completions: Completions;
@@ -36,25 +36,25 @@
   readonly sessionSecret: string;
   readonly fleet: FleetView;
   readonly reader: TableReader;
-  readonly takeAnnouncement: (announcement: Announcement) => void;
+  readonly onAnnouncement: (announcement: Announcement) => void;
   readonly addresses: (query: { availabilityZone?: string; session?: string }) => unknown;
   readonly status: () => Promise<unknown>;
   readonly burnSeries: () => Promise<readonly BurnSeries[]>;
   readonly metricsText: () => Promise<string>;
   readonly drain: () => void;
   readonly isServing: () => boolean;
-  /** Counts requests under way. */
-  readonly track: (change: 1 | -1) => void;
+  /** Called when a caller's request starts (1) and ends (-1). */
+  readonly trackOpenRequests: (change: 1 | -1) => void;
   readonly logger: Logger;
 }
 
 type Handler = (c: EntryHttpContext, workspace: string) => Promise<Response> | Response;
 
-/** The routes of an entry. */
+/** Creates the routes of an entry. */
 export function createRoutes(options: RoutesOptions): Hono<{ Bindings: HttpBindings }> {
   const app = new Hono<{ Bindings: HttpBindings }>();
-  app.onError((error, c) => answerError(options, error, c));
-  app.notFound((c) => errorResponse(notFound(`there is nothing at ${c.req.method} ${c.req.path}`)));
+  app.onError((error, c) => handleError(options, error, c));
+  app.notFound((c) => errorResponse(notFound(`no route matches ${c.req.method} ${c.req.path}`)));
   addOpenRoutes(app, options);
   addCallerRoutes(app, options);
   addJobRoutes(app, options);
@@ -62,7 +62,7 @@
   return app;
 }
 
-function answerError(options: RoutesOptions, thrown: unknown, c: EntryHttpContext): Response {
+function handleError(options: RoutesOptions, thrown: unknown, c: EntryHttpContext): Response {
   const error = toShedlineError(thrown, { step: 'answer', peer: 'caller', ran: 'unknown' });
   logFailure(options, error, c);
   return errorResponse(error);
@@ -87,20 +87,20 @@
     options.isServing() ? c.json({ ready: true }) : c.json({ ready: false }, 503),
   );
   app.post('/v1/endpoints/announce', (c) => {
-    options.authenticator.require(c.req.header('authorization'), 'endpoint');
-    return handleAnnouncement(c, options.takeAnnouncement);
+    options.authenticator.requireRole(c.req.header('authorization'), 'endpoint');
+    return handleAnnouncement(c, options.onAnnouncement);
   });
 }
 
-/** A handler for callers that counts as a request under way until it is answered. */
+/** Creates a handler that authenticates the caller and counts the request until it ends. */
 function forCaller(options: RoutesOptions, handler: Handler) {
   return async (c: EntryHttpContext): Promise<Response> => {
     const workspace = options.authenticator.requireCaller(c.req.header('authorization'));
-    options.track(1);
+    options.trackOpenRequests(1);
     try {
       return await handler(c, workspace);
     } finally {
-      options.track(-1);
+      options.trackOpenRequests(-1);
     }
   };
 }
@@ -180,7 +180,7 @@
   );
   app.get(
     '/v1/jobs/:id',
-    forCaller(options, (c, workspace) => jobs.show(c, workspace)),
+    forCaller(options, (c, workspace) => jobs.get(c, workspace)),
   );
   app.put(
     '/v1/jobs/:id/items',
@@ -206,61 +206,61 @@
   handler: (c: EntryHttpContext) => Promise<Response> | Response,
 ) {
   return async (c: EntryHttpContext): Promise<Response> => {
-    options.authenticator.require(c.req.header('authorization'), role);
+    options.authenticator.requireRole(c.req.header('authorization'), role);
     return handler(c);
   };
 }
 
 function addOperatorRoutes(app: Hono<{ Bindings: HttpBindings }>, options: RoutesOptions): void {
   const { operator } = options;
-  const only = (handler: (c: EntryHttpContext) => Promise<Response> | Response) =>
+  const forOperator = (handler: (c: EntryHttpContext) => Promise<Response> | Response) =>
     forRole(options, 'operator', handler);
   app.get(
     '/v1/table',
-    only((c) => operator.table(c)),
+    forOperator((c) => operator.getTable(c)),
   );
   app.put(
     '/v1/table',
-    only((c) => operator.apply(c)),
+    forOperator((c) => operator.replaceTable(c)),
   );
   app.patch(
     '/v1/table/rows/:workspace/:service',
-    only((c) => operator.editRow(c)),
+    forOperator((c) => operator.editRow(c)),
   );
   app.get(
     '/v1/table/revisions/:revision',
-    only((c) => operator.inForce(c)),
+    forOperator((c) => operator.revisionStatus(c)),
   );
   app.post(
     '/v1/orders',
-    only((c) => operator.placeOrder(c)),
+    forOperator((c) => operator.placeOrder(c)),
   );
   app.get(
     '/v1/orders',
-    only((c) => operator.orders(c)),
+    forOperator((c) => operator.listOrders(c)),
   );
   app.get(
     '/v1/status',
-    only(async (c) => c.json((await options.status()) as object)),
+    forOperator(async (c) => c.json((await options.status()) as object)),
   );
   app.get(
     '/v1/report/burn',
-    only((c) => burnAnswer(options, c)),
+    forOperator((c) => burnResponse(options, c)),
   );
   app.get(
     '/metrics',
-    only(async (c) => c.text(await options.metricsText())),
+    forOperator(async (c) => c.text(await options.metricsText())),
   );
   app.post(
     '/v1/drain',
-    only((c) => {
+    forOperator((c) => {
       options.drain();
       return c.json({ draining: true }, 202);
     }),
   );
 }
 
-async function burnAnswer(options: RoutesOptions, c: EntryHttpContext): Promise<Response> {
+async function burnResponse(options: RoutesOptions, c: EntryHttpContext): Promise<Response> {
   const series = await options.burnSeries();
   const format = c.req.query('format') ?? 'json';
   if (format === 'html') return c.html(burnPage(series));
--- a/packages/entry/src/service-calls.ts
+++ b/packages/entry/src/service-calls.ts
@@ -1,5 +1,5 @@
 /**
- * `ANY /v1/services/:service/*`: calls of plain services.
+ * `ANY /v1/services/:service/*`: forwards calls to plain services.
  */
 import { ranAfter, mayRetry } from '@shedline/admission';
 import type { SendProgress } from '@shedline/admission';
@@ -12,20 +12,21 @@
 import type { EntryHttpContext } from './http-support.js';
 import type { OnlineContext } from './online-run.js';
 
-/** What the handler needs. */
+/** Options of {@link ServiceCalls}. */
 export interface ServiceCallsOptions {
   readonly context: OnlineContext;
   readonly claimer: CallClaimer;
   readonly maxBodyBytes: number;
+  /** Throws if the entry may not accept work now. */
   readonly checkServing: () => void;
 }
 
-/** A call that a batch item makes. */
+/** A call of a batch item. */
 export interface ItemCall {
   readonly method: string;
   readonly path: string;
   readonly body: Buffer;
-  /** Names the item, the same on every attempt. */
+  /** Identifies the item; the same on every attempt. */
   readonly key: string;
 }
 
@@ -39,12 +40,13 @@
   readonly idempotent: boolean;
 }
 
-type Answered = CallOutcome & { kind: 'answered' };
+type AnsweredCall = CallOutcome & { kind: 'answered' };
 
 const MAX_ATTEMPTS = 3;
 const RETRY_AFTER_MS = 500;
 const SAFE_METHODS = new Set(['GET', 'HEAD', 'OPTIONS']);
-const HOP_HEADERS = new Set([
+/** Hop-by-hop headers, and headers that are meant for the entry only. */
+const NOT_FORWARDED_HEADERS = new Set([
   'authorization',
   'connection',
   'content-length',
@@ -56,7 +58,7 @@
   'upgrade',
 ]);
 
-/** Passes calls through to plain services. */
+/** Forwards calls to plain services. */
 export class ServiceCalls {
   private readonly options: ServiceCallsOptions;
 
@@ -64,7 +66,7 @@
     this.options = options;
   }
 
-  /** Answers one call. */
+  /** Handles a call of a caller. */
   async handle(c: EntryHttpContext, workspace: string): Promise<Response> {
     const call = await this.prepare(c, workspace);
     const key = c.req.header('idempotency-key');
@@ -75,12 +77,12 @@
       key,
       requestHash: sha256Hex(`${call.method} ${call.path}\n${call.body.toString('base64')}`),
       deadlineMs: call.deadlineMs,
-      run: async () => recordOf(await this.admitAndSend(call)),
+      run: async () => recordedAnswerOf(await this.admitAndSend(call)),
     });
     return recordedResponse(recorded);
   }
 
-  /** Sends a batch item's call; it is neither limited nor repeated. */
+  /** Sends the call of a batch item, without admission control or retries. */
   async sendItem(row: ServiceRow, item: ItemCall, signal: AbortSignal): Promise<CallOutcome> {
     const { context } = this.options;
     const endpoint = context.fleet.route(
@@ -96,9 +98,9 @@
       method,
       path,
       body,
-      // A service that knows keys can tell a repeated idempotent item by it.
+      // Lets a service that supports idempotency keys detect a repeated item.
       headers: { 'content-type': 'application/json', 'idempotency-key': key },
-      lane: 'batch',
+      connectionClass: 'batch',
       signal,
     });
   }
@@ -113,33 +115,33 @@
     return {
       row,
       method,
-      path: pathBehind(c.env.incoming.url ?? '/', service),
-      headers: passedHeaders(c),
+      path: pathAfterService(c.env.incoming.url ?? '/', service),
+      headers: forwardedHeaders(c),
       body,
       deadlineMs: requestDeadlineMs(c, row),
       idempotent: row.idempotent || SAFE_METHODS.has(method),
     };
   }
 
-  private admitAndSend(call: PreparedCall): Promise<Answered> {
+  private admitAndSend(call: PreparedCall): Promise<AnsweredCall> {
     return this.options.context.admission.run(call.row, false, () => this.send(call));
   }
 
-  private async send(call: PreparedCall): Promise<Answered> {
+  private async send(call: PreparedCall): Promise<AnsweredCall> {
     const { fleet, driver, nowMs, admission } = this.options.context;
     const key = rowKey(call.row.workspace, call.row.service);
     const startedMs = nowMs();
-    const sends: SendProgress[] = [];
+    const attempts: SendProgress[] = [];
     const excluded = new Set<string>();
     const signal = AbortSignal.timeout(Math.ceil(call.deadlineMs));
     for (;;) {
       const query = { row: call.row, prefixes: [], sessionId: undefined, excluded };
       const endpoint = fleet.route(query, nowMs());
-      if (endpoint === undefined) throw unavailable(key, sends);
+      if (endpoint === undefined) throw unavailable(key, attempts);
       const { endpointId, url } = endpoint.announcement;
       fleet.loads.change(endpointId, 'online', 1);
       fleet.endpoints.sent(endpointId);
-      const outcome = await driver.call({ url, ...call, lane: 'online', signal });
+      const outcome = await driver.call({ url, ...call, connectionClass: 'online', signal });
       fleet.loads.change(endpointId, 'online', -1);
       if (outcome.kind === 'answered') {
         fleet.endpoints.succeeded(endpointId, undefined, nowMs());
@@ -147,66 +149,66 @@
       }
       fleet.endpoints.failed(endpointId, nowMs());
       excluded.add(endpointId);
-      sends.push(outcome.progress);
-      const leftMs = call.deadlineMs - (nowMs() - startedMs);
-      const goOn =
+      attempts.push(outcome.progress);
+      const remainingMs = call.deadlineMs - (nowMs() - startedMs);
+      const mayRetryCall =
         mayRetry({
           progress: outcome.progress,
           idempotent: call.idempotent,
-          attempts: sends.length,
+          attempts: attempts.length,
           maxAttempts: MAX_ATTEMPTS,
-          leftMs,
+          leftMs: remainingMs,
           hasAlternative: fleet.route({ ...query, excluded }, nowMs()) !== undefined,
         }) && admission.budgetOf(key).takeRetry();
-      if (!goOn) throw callFailed(endpointId, outcome.message, sends, leftMs);
+      if (!mayRetryCall) throw callFailed(endpointId, outcome.message, attempts, remainingMs);
     }
   }
 }
 
-/** Path and query behind `/v1/services/NAME`, byte for byte. */
-function pathBehind(url: string, service: string): string {
+/** Returns the path and query after `/v1/services/NAME`, byte for byte. */
+function pathAfterService(url: string, service: string): string {
   const prefix = `/v1/services/${service}`;
-  const rest = url.slice(prefix.length);
-  return rest.startsWith('/') ? rest : `/${rest}`;
+  const path = url.slice(prefix.length);
+  return path.startsWith('/') ? path : `/${path}`;
 }
 
-function passedHeaders(c: EntryHttpContext): Record<string, string> {
+function forwardedHeaders(c: EntryHttpContext): Record<string, string> {
   const headers: Record<string, string> = {};
   for (const [name, value] of Object.entries(c.req.header())) {
-    if (!HOP_HEADERS.has(name)) headers[name] = value;
+    if (!NOT_FORWARDED_HEADERS.has(name)) headers[name] = value;
   }
   return headers;
 }
 
-function recordOf(answered: Answered): RecordedAnswer {
+function recordedAnswerOf(answered: AnsweredCall): RecordedAnswer {
   const contentType = answered.headers['content-type'] ?? 'application/octet-stream';
   return { status: answered.status, contentType, body: answered.body };
 }
 
-function toResponse(answered: Answered): Response {
+function toResponse(answered: AnsweredCall): Response {
   const { status, headers } = answered;
-  return new Response(bodyFor(status, answered.body), { status, headers });
+  return new Response(responseBodyOf(status, answered.body), { status, headers });
 }
 
 function recordedResponse(recorded: RecordedAnswer): Response {
   const headers = { 'content-type': recorded.contentType };
-  return new Response(bodyFor(recorded.status, recorded.body), {
+  return new Response(responseBodyOf(recorded.status, recorded.body), {
     status: recorded.status,
     headers,
   });
 }
 
-function bodyFor(status: number, body: Buffer): Uint8Array<ArrayBuffer> | null {
+function responseBodyOf(status: number, body: Buffer): Uint8Array<ArrayBuffer> | null {
   return status === 204 || status === 304 ? null : new Uint8Array(body);
 }
 
-function unavailable(key: string, sends: readonly SendProgress[]): ShedlineError {
+function unavailable(key: string, attempts: readonly SendProgress[]): ShedlineError {
   return new ShedlineError({
     type: 'unavailable',
-    message: `no endpoint of ${key} is up; come back later`,
+    message: `no endpoint of ${key} is available; retry later`,
     step: 'choose endpoint',
     peer: key,
-    ran: ranAfter(sends),
+    ran: ranAfter(attempts),
     retryAfterMs: RETRY_AFTER_MS,
   });
 }
@@ -214,15 +216,15 @@
 function callFailed(
   peer: string,
   reason: string,
-  sends: readonly SendProgress[],
-  leftMs: number,
+  attempts: readonly SendProgress[],
+  remainingMs: number,
 ): ShedlineError {
-  const late = leftMs <= 0;
+  const isPastDeadline = remainingMs <= 0;
   return new ShedlineError({
-    type: late ? 'deadline_exceeded' : 'endpoint_failed',
-    message: late ? 'the deadline of the request has passed' : reason,
+    type: isPastDeadline ? 'deadline_exceeded' : 'endpoint_failed',
+    message: isPastDeadline ? 'the deadline of the request has passed' : reason,
     step: 'call service',
     peer,
-    ran: ranAfter(sends),
+    ran: ranAfter(attempts),
   });
 }
--- a/packages/entry/src/sessions.ts
+++ b/packages/entry/src/sessions.ts
@@ -1,5 +1,6 @@
 /**
- * Session tokens that any entry honours: signed with the secret that all instances share.
+ * Session tokens. They are signed with the secret that all instances share, so that every entry
+ * accepts them.
  */
 import { createHmac, randomUUID, timingSafeEqual } from 'node:crypto';
 import { ShedlineError } from '@shedline/errors';
@@ -11,24 +12,24 @@
   readonly service: string;
 }
 
-/** Makes a token for a new session. */
+/** Creates the token of a new session. */
 export function openSession(secret: string, workspace: string, service: string): string {
   const session: Session = { sessionId: randomUUID(), workspace, service };
   const body = Buffer.from(JSON.stringify(session)).toString('base64url');
   return `${body}.${signatureOf(secret, body)}`;
 }
 
-/** The session of a token; throws where the token is not of this fleet or workspace. */
+/** Returns the session of a token; throws if the token is from another fleet or workspace. */
 export function readSession(secret: string, token: string, workspace: string): Session {
   const [body = '', signature = ''] = token.split('.');
   const expected = Buffer.from(signatureOf(secret, body));
   const given = Buffer.from(signature);
-  const genuine = given.length === expected.length && timingSafeEqual(given, expected);
-  const session = genuine ? parseSession(body) : undefined;
+  const isSigned = given.length === expected.length && timingSafeEqual(given, expected);
+  const session = isSigned ? parseSession(body) : undefined;
   if (session?.workspace === workspace) return session;
   throw new ShedlineError({
     type: 'not_found',
-    message: 'there is no such session; open one with POST /v1/sessions',
+    message: 'session not found; open a session with POST /v1/sessions',
     step: 'read session',
     peer: 'caller',
   });
--- a/packages/entry/src/table-reader.test.ts
+++ b/packages/entry/src/table-reader.test.ts
@@ -16,10 +16,10 @@
   load: 0,
 };
 
-/** A table behind a control instance that can be cut off, and a reader of it. */
+/** A table reader and its control process, which can be made unreachable. */
 class Fixture {
   nowMs = 0;
-  isCut = false;
+  isPartitioned = false;
   peer: PeerTable | undefined;
   readonly table = new Table();
   readonly view = new TableView();
@@ -30,7 +30,7 @@
       name: 'control',
       isReady: true,
       call: (): Promise<unknown> => {
-        if (this.isCut) return Promise.reject(new Error('cut off'));
+        if (this.isPartitioned) return Promise.reject(new Error('partitioned'));
         const delta = this.table.deltaSince(this.view.revision);
         return Promise.resolve({ delta, entries: [] });
       },
@@ -43,7 +43,7 @@
       staleAfterMs: 10_000,
       nowMs: () => this.nowMs,
       ownStatus: () => STATUS,
-      askPeer: () => Promise.resolve(this.peer),
+      requestFromPeer: () => Promise.resolve(this.peer),
     });
   }
 
@@ -62,23 +62,24 @@
 }
 
 describe('TableReader', () => {
-  test(title("a fresh entry takes no peer's word for the table"), async (t) => {
-    const fixture = new Fixture();
-    fixture.isCut = true;
-    fixture.peer = { delta: fixture.table.deltaSince(-1), ageMs: 0 };
-    t.false(await fixture.reader.refresh());
-    t.false(fixture.reader.isFresh);
-  });
+  test(
+    title('a new entry does not accept the table of a peer before a quorum has confirmed one'),
+    async (t) => {
+      const fixture = new Fixture();
+      fixture.isPartitioned = true;
+      fixture.peer = { delta: fixture.table.deltaSince(-1), ageMs: 0 };
+      t.false(await fixture.reader.refresh());
+      t.false(fixture.reader.isFresh);
+    },
+  );
 
   test(
-    title(
-      "an entry whose link to control is cut goes on by the table of a peer, at the peer's age",
-    ),
+    title("an entry partitioned from control uses the table of a peer, with the peer's age"),
     async (t) => {
       const fixture = new Fixture();
       fixture.addRow('a');
       t.true(await fixture.reader.refresh());
-      fixture.isCut = true;
+      fixture.isPartitioned = true;
       fixture.addRow('b');
       fixture.nowMs = 9000;
       fixture.peer = { delta: fixture.table.deltaSince(-1), ageMs: 2000 };
@@ -92,7 +93,7 @@
     },
   );
 
-  test(title('an unknown name makes it look once more'), async (t) => {
+  test(title('an unknown name triggers one additional refresh'), async (t) => {
     const fixture = new Fixture();
     await fixture.reader.refresh();
     fixture.addRow('new');
--- a/packages/entry/src/work-source.ts
+++ b/packages/entry/src/work-source.ts
@@ -1,6 +1,6 @@
 /**
- * Where batch items come from: what waits in the job groups, and the leases that this entry
- * asks for by the room it has.
+ * Obtains batch items: polls the demand of the job groups and requests leases of items for the
+ * free slots of this entry.
  */
 import { setTimeout as pause } from 'node:timers/promises';
 import { allocateSlots } from '@shedline/batch';
@@ -11,9 +11,9 @@
 import type { ItemLease, LeasedItem } from '@shedline/types';
 import type { FleetView } from './fleet-view.js';
 
-const LOOK_INTERVAL_MS = 200;
-const IDLE_LOOK_INTERVAL_MS = 1000;
-const MAX_GRANT = 64;
+const POLL_INTERVAL_MS = 200;
+const IDLE_POLL_INTERVAL_MS = 1000;
+const MAX_ITEMS_PER_GRANT = 64;
 const RATE_SMOOTHING = 0.3;
 
 /** Options of {@link WorkSource}. */
@@ -24,72 +24,72 @@
   readonly logger: Logger;
   readonly random: () => number;
   readonly nowMs: () => number;
-  /** Entries that run batch work as this one does. */
+  /** Returns the number of entries that run batch work, this one included. */
   readonly entryCount: () => number;
-  /** Takes a lease whose items may run. */
-  readonly onLease: (group: number, lease: ItemLease, askedAtMs: number) => void;
-  /** Told of items that were leased but will not be sent by this entry. */
+  /** Called with a granted lease; its items may be sent. */
+  readonly onLease: (group: number, lease: ItemLease, requestedAtMs: number) => void;
+  /** Called with items that were leased but will not be sent by this entry. */
   readonly onNotStarted: (group: number, jobId: string, indexes: readonly number[]) => void;
 }
 
-interface EndRate {
+interface CompletionRate {
   items: number;
   perSecond: number;
 }
 
-/** Asks the job groups for items. */
+/** Requests items from the job groups. */
 export class WorkSource {
   private readonly options: WorkSourceOptions;
   private readonly waiting = new Map<number, WaitingWork[]>();
-  private readonly looking = new Map<number, Promise<void>>();
-  private readonly rates = new Map<string, EndRate>();
-  private lastLookMs = -Infinity;
-  private asking = false;
+  private readonly polls = new Map<number, Promise<void>>();
+  private readonly rates = new Map<string, CompletionRate>();
+  private lastPollMs = -Infinity;
+  private isRequesting = false;
 
   constructor(options: WorkSourceOptions) {
     this.options = options;
   }
 
-  /** Whether items wait anywhere, as of the last look. */
+  /** Whether any items were waiting at the last poll. */
   get hasWork(): boolean {
     return this.totalWaiting() > 0;
   }
 
-  /** Looks at what waits, if it is time to. */
-  async look(): Promise<void> {
+  /** Polls the waiting items of all groups, if the poll interval has passed. */
+  async poll(): Promise<void> {
     const nowMs = this.options.nowMs();
-    const intervalMs = this.totalWaiting() === 0 ? IDLE_LOOK_INTERVAL_MS : LOOK_INTERVAL_MS;
-    if (nowMs - this.lastLookMs < intervalMs) return;
-    this.lastLookMs = nowMs;
+    const intervalMs = this.totalWaiting() === 0 ? IDLE_POLL_INTERVAL_MS : POLL_INTERVAL_MS;
+    if (nowMs - this.lastPollMs < intervalMs) return;
+    this.lastPollMs = nowMs;
     try {
       const groupCount = await this.options.control.groupCount();
       const groups = Array.from({ length: groupCount }, (_, index) => index + 1);
-      await Promise.all(groups.map((group) => this.lookAt(group)));
+      await Promise.all(groups.map((group) => this.pollGroup(group)));
     } catch (error) {
-      this.debug('work not known', 'look at work', error);
+      this.debug('poll of waiting items failed', 'look at work', error);
     }
   }
 
-  /** Asks for items for the free slots beyond the `held` ones that wait here. */
-  async ask(slots: readonly FreeSlots[], held: number): Promise<void> {
-    const works = [...this.waiting.values()].flat().filter((work) => work.pendingItems > 0);
-    const room = slots.reduce((sum, entry) => sum + entry.slots, 0) - held;
-    if (this.asking || room <= 0 || works.length === 0) return;
-    this.asking = true;
+  /** Requests items for the free slots, less the `held` items that already wait here. */
+  async requestItems(slots: readonly FreeSlots[], held: number): Promise<void> {
+    const waitingWork = [...this.waiting.values()].flat().filter((work) => work.pendingItems > 0);
+    const freeSlots = slots.reduce((sum, free) => sum + free.slots, 0) - held;
+    if (this.isRequesting || freeSlots <= 0 || waitingWork.length === 0) return;
+    this.isRequesting = true;
     try {
-      const requests = allocateSlots(slots, works, this.options.random);
-      await Promise.all(requests.map((request) => this.grant(request)));
+      const requests = allocateSlots(slots, waitingWork, this.options.random);
+      await Promise.all(requests.map((request) => this.requestGrant(request)));
     } finally {
-      this.asking = false;
+      this.isRequesting = false;
     }
   }
 
-  /** Notes that an item of a row ended here. */
+  /** Counts an item of a row that finished on this entry. */
   itemEnded(row: string): void {
     this.rateOf(row).items += 1;
   }
 
-  /** Works out the rates of the last second. */
+  /** Updates the smoothed rates; called once per second. */
   updateRates(): void {
     for (const rate of this.rates.values()) {
       rate.perSecond += RATE_SMOOTHING * (rate.items - rate.perSecond);
@@ -98,19 +98,19 @@
   }
 
   private totalWaiting(): number {
-    const works = [...this.waiting.values()].flat();
-    return works.reduce((sum, work) => sum + work.pendingItems, 0);
+    const waitingWork = [...this.waiting.values()].flat();
+    return waitingWork.reduce((sum, work) => sum + work.pendingItems, 0);
   }
 
-  /** A group without a leader must not hold up the others. */
-  private lookAt(group: number): Promise<void> {
-    if (this.looking.has(group)) return Promise.resolve();
-    const look = this.load(group).finally(() => this.looking.delete(group));
-    this.looking.set(group, look);
-    return Promise.race([look, pause(LOOK_INTERVAL_MS)]);
+  /** Waits a limited time, so that a group without a leader does not delay the others. */
+  private pollGroup(group: number): Promise<void> {
+    if (this.polls.has(group)) return Promise.resolve();
+    const poll = this.loadDemand(group).finally(() => this.polls.delete(group));
+    this.polls.set(group, poll);
+    return Promise.race([poll, pause(POLL_INTERVAL_MS)]);
   }
 
-  private async load(group: number): Promise<void> {
+  private async loadDemand(group: number): Promise<void> {
     try {
       const demand = await this.options.control.demand(group);
       this.waiting.set(
@@ -135,64 +135,65 @@
         models: row.kind === 'plain' ? [key] : row.models,
         pendingItems,
         neededItemsPerSecond,
-        // The other entries are taken to end as many as this one.
+        // Assumes that each of the other entries finishes items at the same rate.
         currentItemsPerSecond: this.rateOf(key).perSecond * this.options.entryCount(),
       },
     ];
   }
 
-  private async grant({ group, row, maxItems }: GrantRequest): Promise<void> {
+  private async requestGrant({ group, row, maxItems }: GrantRequest): Promise<void> {
     const { control, leaseOwner, nowMs } = this.options;
     const [workspace = '', service = ''] = row.split('/');
-    const wanted = Math.min(MAX_GRANT, maxItems);
-    this.expect(group, row, wanted);
-    const askedAtMs = nowMs();
+    const itemCount = Math.min(MAX_ITEMS_PER_GRANT, maxItems);
+    this.reduceWaiting(group, row, itemCount);
+    const requestedAtMs = nowMs();
     const command = { type: 'grantItems', owner: leaseOwner, workspace, service } as const;
     try {
-      const answer = await control.proposeJob(group, { ...command, maxItems: wanted });
-      for (const lease of (answer as GrantAnswer).leases) await this.take(group, lease, askedAtMs);
+      const reply = await control.proposeJob(group, { ...command, maxItems: itemCount });
+      for (const lease of (reply as GrantAnswer).leases)
+        await this.acceptLease(group, lease, requestedAtMs);
     } catch (error) {
       this.debug('no items granted', 'grant', error);
     }
   }
 
-  /** Known work shrinks at once, so that the next round does not ask for it again. */
-  private expect(group: number, row: string, items: number): void {
-    const works = this.waiting.get(group) ?? [];
-    const left = works.map((work) =>
+  /** Reduces the known waiting items at once, so that they are not requested again. */
+  private reduceWaiting(group: number, row: string, items: number): void {
+    const waitingWork = this.waiting.get(group) ?? [];
+    const remaining = waitingWork.map((work) =>
       work.row === row ? { ...work, pendingItems: Math.max(0, work.pendingItems - items) } : work,
     );
-    this.waiting.set(group, left);
+    this.waiting.set(group, remaining);
   }
 
-  private async take(group: number, lease: ItemLease, askedAtMs: number): Promise<void> {
+  private async acceptLease(group: number, lease: ItemLease, requestedAtMs: number): Promise<void> {
     const items = lease.idempotent ? lease.items : await this.startItems(group, lease);
-    this.options.onLease(group, { ...lease, items }, askedAtMs);
+    this.options.onLease(group, { ...lease, items }, requestedAtMs);
   }
 
   /**
-   * Non-idempotent items are sent only once the log says that they are about to be. Where
-   * that stays unknown they were not sent, and go back as not run.
+   * Records the start of non-idempotent items in the log before they are sent. If the record is not
+   * confirmed, the items are not sent and are returned as not run.
    */
   private async startItems(group: number, lease: ItemLease): Promise<readonly LeasedItem[]> {
     const { leaseId, jobId, items } = lease;
     const indexes = items.map(({ index }) => index);
     try {
       const command = { type: 'startItems', leaseId, jobId, indexes } as const;
-      const answer = (await this.options.control.proposeJob(group, command)) as StartAnswer;
-      return items.filter(({ index }) => answer.started.includes(index));
+      const reply = (await this.options.control.proposeJob(group, command)) as StartAnswer;
+      return items.filter(({ index }) => reply.started.includes(index));
     } catch {
       this.options.onNotStarted(group, jobId, indexes);
       return [];
     }
   }
 
-  private rateOf(row: string): EndRate {
+  private rateOf(row: string): CompletionRate {
     const known = this.rates.get(row);
     if (known !== undefined) return known;
-    const fresh = { items: 0, perSecond: 0 };
-    this.rates.set(row, fresh);
-    return fresh;
+    const created = { items: 0, perSecond: 0 };
+    this.rates.set(row, created);
+    return created;
   }
 
   private debug(message: string, step: string, error: unknown): void {
--- a/packages/errors/src/index.ts
+++ b/packages/errors/src/index.ts
@@ -1,10 +1,10 @@
 /**
- * Errors of shedline. Each carries the step and the peer at which it arose, whether the
- * request ran, and the HTTP status that a caller sees.
+ * The error class of shedline. Each error carries the step that failed, the peer involved, whether
+ * the request was executed, and the HTTP status returned to the caller.
  */
 import type { Ran } from '@shedline/types';
 
-/** Kinds of errors. */
+/** Machine-readable error types. */
 export type ErrorType =
   | 'invalid_request'
   | 'unauthorized'
@@ -42,14 +42,15 @@
 export interface ShedlineErrorOptions {
   readonly type: ErrorType;
   readonly message: string;
-  /** What was being done. */
+  /** Operation that failed. */
   readonly step: string;
-  /** With whom: an instance, an endpoint, a file or the caller. */
+  /** Other party of the operation: an instance, an endpoint, a file or the caller. */
   readonly peer?: string;
+  /** Whether the request was executed; `no` if omitted. */
   readonly ran?: Ran;
   readonly retryAfterMs?: number;
   readonly cause?: unknown;
-  /** Further data for the caller, such as the current row of a conflict. */
+  /** Additional data for the caller, such as the current row after a conflict. */
   readonly details?: Readonly<Record<string, unknown>>;
 }
 
@@ -64,7 +65,7 @@
   readonly details?: Readonly<Record<string, unknown>>;
 }
 
-/** An error with its step, its peer and whether the request ran. */
+/** An error that reports its step, its peer and whether the request was executed. */
 export class ShedlineError extends Error {
   readonly type: ErrorType;
   readonly step: string;
@@ -84,12 +85,12 @@
     this.details = options.details;
   }
 
-  /** HTTP status for this error. */
+  /** HTTP status of this error's type. */
   get status(): number {
     return STATUS_BY_TYPE[this.type];
   }
 
-  /** The form that goes to callers and between instances. */
+  /** Returns the form that is sent to callers and between instances. */
   toBody(): ErrorBody {
     return {
       type: this.type,
@@ -108,7 +109,7 @@
   return new ShedlineError(body);
 }
 
-/** Errors that come before the first byte of a request goes out. */
+/** Codes of errors that occur before the first byte of a request is sent. */
 const NOT_SENT_CODES = new Set([
   'ECONNREFUSED',
   'EHOSTUNREACH',
@@ -116,12 +117,12 @@
   'UND_ERR_CONNECT_TIMEOUT',
 ]);
 
-/** Whether an error of a connection proves that no byte of the request went out. */
+/** Whether a connection error proves that no byte of the request was sent. */
 export function provesNotSent(error: unknown): boolean {
   return NOT_SENT_CODES.has((error as { code?: string }).code ?? '');
 }
 
-/** Any thrown value as a {@link ShedlineError}; what is one already stays as it is. */
+/** Converts any thrown value to a {@link ShedlineError}; returns one unchanged. */
 export function toShedlineError(
   error: unknown,
   context: { readonly step: string; readonly peer?: string; readonly ran?: Ran },
--- a/packages/logger/src/bounded-stream.ts
+++ b/packages/logger/src/bounded-stream.ts
@@ -1,30 +1,33 @@
 /**
- * A stream in front of a log's destination that drops lines rather than wait for a reader.
+ * A stream in front of a log destination that drops lines instead of waiting for a slow reader.
  */
 import { Writable } from 'node:stream';
 
-/** Bytes that may wait for the reader. */
-const DEFAULT_MAX_WAITING_BYTES = 256 * 1024;
+/** Maximum number of bytes buffered for the reader. */
+const DEFAULT_MAX_BUFFERED_BYTES = 256 * 1024;
 
 /** Options of {@link BoundedStream}. */
 export interface BoundedStreamOptions {
-  readonly maxWaitingBytes?: number;
+  readonly maxBufferedBytes?: number;
 }
 
-/** Passes lines on while few wait; counts what it drops and says so once there is room again. */
+/**
+ * Writes lines to the target while its buffer is below the limit. Counts the dropped lines, and
+ * writes a record with their number before the next line that is accepted.
+ */
 export class BoundedStream extends Writable {
   private readonly target: Writable;
-  private readonly maxWaitingBytes: number;
+  private readonly maxBufferedBytes: number;
   private droppedLines = 0;
 
   constructor(target: Writable, options: BoundedStreamOptions = {}) {
     super({ decodeStrings: false });
     this.target = target;
-    this.maxWaitingBytes = options.maxWaitingBytes ?? DEFAULT_MAX_WAITING_BYTES;
+    this.maxBufferedBytes = options.maxBufferedBytes ?? DEFAULT_MAX_BUFFERED_BYTES;
   }
 
   override _write(line: string | Buffer, _encoding: string, done: () => void): void {
-    if (this.target.writableLength > this.maxWaitingBytes) {
+    if (this.target.writableLength > this.maxBufferedBytes) {
       this.droppedLines += 1;
     } else {
       this.reportDropped();
--- a/packages/logger/src/index.ts
+++ b/packages/logger/src/index.ts
@@ -1,20 +1,20 @@
 /**
- * Structured logs: one JSON object a line, on standard error or standard output.
- * Tokens and bodies of requests never go into a log.
+ * Structured logs: one JSON object per line, on standard error or standard output.
+ * Tokens and request bodies must never be logged.
  */
 import type { Writable } from 'node:stream';
 import winston from 'winston';
 import { BoundedStream } from './bounded-stream.js';
 
-/** Levels that settings accept. */
+/** Log levels accepted in the settings. */
 export type LogLevel = 'error' | 'warn' | 'info' | 'debug' | 'silent';
 
-/** Fields of a log line; durations carry their unit in the name. */
+/** Fields of a log record; names of durations include the unit. */
 export type LogFields = Readonly<
   Record<string, string | number | boolean | readonly string[] | undefined>
 >;
 
-/** A log that knows which instance writes it. */
+/** Writes log records of one instance. */
 export interface Logger {
   error(message: string, fields?: LogFields): void;
   warn(message: string, fields?: LogFields): void;
@@ -22,18 +22,21 @@
   debug(message: string, fields?: LogFields): void;
 }
 
-/** Where log lines go. */
+/** Output stream of a log. */
 export type LogDestination = 'stderr' | 'stdout';
 
 /** Options of {@link createLogger}. */
 export interface LoggerOptions {
   readonly level?: LogLevel;
-  /** Name of the instance, written on every line. */
+  /** Name of the instance, included in every record. */
   readonly instance?: string;
   readonly destination?: LogDestination;
 }
 
-/** A logger that writes JSON lines. A reader that falls behind loses lines, never time. */
+/**
+ * Creates a logger that writes JSON lines. If the reader falls behind, lines are dropped, so that
+ * logging never blocks the process.
+ */
 export function createLogger(options: LoggerOptions = {}): Logger {
   const level = options.level ?? 'info';
   const target: Writable = options.destination === 'stdout' ? process.stdout : process.stderr;
@@ -43,7 +46,7 @@
     defaultMeta: options.instance === undefined ? {} : { instance: options.instance },
     format: winston.format.combine(winston.format.timestamp(), winston.format.json()),
     transports: [
-      // The types of winston declare its transports as interfaces, not as classes.
+      // winston's type declarations declare its transports as interfaces, not as classes.
       // eslint-disable-next-line @typescript-eslint/no-unsafe-class-instance-assignment
       new winston.transports.Stream({ stream: new BoundedStream(target) }),
     ],
--- a/packages/metrics/src/burn-page.ts
+++ b/packages/metrics/src/burn-page.ts
@@ -1,5 +1,5 @@
 /**
- * The burn report as text and as one self-contained HTML page with plots.
+ * Renders the burn report as text and as a self-contained HTML page with plots.
  */
 import type { BurnRow, BurnSeries } from './burn.js';
 import { ERROR_BUDGET_SHARE, burnReport } from './burn.js';
@@ -9,7 +9,7 @@
 const PLOT_SPAN_MS = 3_600_000;
 const PLOT_STEP_MS = 60_000;
 
-/** The report as a table for a terminal. */
+/** Formats the report as a table for a terminal. */
 export function burnTable(rows: readonly BurnRow[]): string {
   const header = ['service', 'target', 'window', 'events', 'missed', 'burn'];
   const lines = rows.map((row) => [
@@ -31,7 +31,7 @@
   return [header, ...lines].map(format).join('\n');
 }
 
-/** The report as an HTML page. */
+/** Formats the report as an HTML page. */
 export function burnPage(series: readonly BurnSeries[]): string {
   const rows = burnReport(series);
   const body = rows.map(
@@ -55,9 +55,9 @@
   ].join('\n');
 }
 
-function mergeSeries(all: readonly BurnSeries[]): BurnSeries[] {
+function mergeSeries(allSeries: readonly BurnSeries[]): BurnSeries[] {
   const merged = new Map<string, BurnSeries>();
-  for (const series of all) {
+  for (const series of allSeries) {
     const key = `${series.service}|${series.target}`;
     const buckets = [...(merged.get(key)?.buckets ?? []), ...series.buckets];
     merged.set(key, { ...series, buckets });
@@ -68,17 +68,17 @@
 function plot(series: BurnSeries): string {
   const points: string[] = [];
   const burns = minuteBurns(series);
-  const top = Math.max(2, ...burns);
+  const maxBurn = Math.max(2, ...burns);
   for (const [minute, burn] of burns.entries()) {
     const x = PLOT_WIDTH - (minute * PLOT_WIDTH * PLOT_STEP_MS) / PLOT_SPAN_MS;
-    const y = PLOT_HEIGHT - (burn / top) * PLOT_HEIGHT;
+    const y = PLOT_HEIGHT - (burn / maxBurn) * PLOT_HEIGHT;
     points.push(`${x.toFixed(1)},${y.toFixed(1)}`);
   }
-  const lineY = PLOT_HEIGHT - PLOT_HEIGHT / top;
+  const budgetLineY = PLOT_HEIGHT - PLOT_HEIGHT / maxBurn;
   return (
-    `<h3>${escapeHtml(series.service)}: ${series.target} (top ${top.toFixed(1)})</h3>` +
+    `<h3>${escapeHtml(series.service)}: ${series.target} (top ${maxBurn.toFixed(1)})</h3>` +
     `<svg width="${PLOT_WIDTH}" height="${PLOT_HEIGHT}" role="img">` +
-    `<line x1="0" x2="${PLOT_WIDTH}" y1="${lineY}" y2="${lineY}" stroke="#a00" stroke-dasharray="4"/>` +
+    `<line x1="0" x2="${PLOT_WIDTH}" y1="${budgetLineY}" y2="${budgetLineY}" stroke="#a00" stroke-dasharray="4"/>` +
     `<polyline fill="none" stroke="#06c" points="${points.join(' ')}"/></svg>`
   );
 }
--- a/packages/metrics/src/burn.test.ts
+++ b/packages/metrics/src/burn.test.ts
@@ -7,14 +7,14 @@
 
 describe('burn report', () => {
   test(
-    title('adds up the entries and counts each window by age, whatever clocks they have'),
+    title('adds up the counts of entries with different clocks, by the age of each bucket'),
     (t) => {
-      const early = new BurnRecorder();
-      early.record('w/s', 'firstToken', true, 0, 95);
-      early.record('w/s', 'firstToken', false, 0, 5);
-      const late = new BurnRecorder();
-      late.record('w/s', 'firstToken', false, 1e9, 10);
-      const series = [...early.export(10 * MINUTE_MS), ...late.export(1e9 + MINUTE_MS)];
+      const first = new BurnRecorder();
+      first.record('w/s', 'firstToken', true, 0, 95);
+      first.record('w/s', 'firstToken', false, 0, 5);
+      const second = new BurnRecorder();
+      second.record('w/s', 'firstToken', false, 1e9, 10);
+      const series = [...first.export(10 * MINUTE_MS), ...second.export(1e9 + MINUTE_MS)];
       const burn = (window: string): number | undefined =>
         burnReport(series).find((row) => row.window === window)?.burn;
       t.is(burn('5m'), 20);
@@ -23,7 +23,7 @@
     },
   );
 
-  test(title('the page stands by itself and shows names as text'), (t) => {
+  test(title('the page is self-contained and escapes names'), (t) => {
     const recorder = new BurnRecorder();
     recorder.record('w/<b>', 'batchDue', true, 0);
     const page = burnPage(recorder.export(1));
--- a/packages/metrics/src/burn.ts
+++ b/packages/metrics/src/burn.ts
@@ -1,12 +1,12 @@
 /**
- * Service-level burn: how fast each service spends its error budget. A budget allows 5 in
- * 100 events to miss their target; a burn of 1 spends it exactly, 2 twice as fast.
+ * Burn rates: how fast each service spends its error budget. The budget allows 5 in 100 events to
+ * miss their target. A burn rate of 1 spends exactly the budget, a rate of 2 twice the budget.
  */
 
-/** Targets that a service is measured against. */
+/** Service-level targets. */
 export type BurnTarget = 'firstToken' | 'betweenTokens' | 'batchDue';
 
-/** Windows of the report. */
+/** Time windows of the report. */
 export const BURN_WINDOWS = [
   { name: '5m', lengthMs: 300_000 },
   { name: '1h', lengthMs: 3_600_000 },
@@ -18,28 +18,28 @@
 const BUCKET_MS = 10_000;
 const MAX_BUCKETS = 21_600_000 / BUCKET_MS;
 
-/** Events in one time bucket; `ageMs` is how long ago it began. */
+/** Events in one time bucket; `ageMs` is the time since the start of the bucket. */
 export interface BurnBucket {
   readonly ageMs: number;
   readonly good: number;
   readonly bad: number;
 }
 
-/** Counts of one target of one service. */
+/** Event counts of one target of one service. */
 export interface BurnSeries {
   readonly service: string;
   readonly target: BurnTarget;
   readonly buckets: readonly BurnBucket[];
 }
 
-/** Burn of one target of one service over one window. */
+/** Burn rate of one target of one service over one window. */
 export interface BurnRow {
   readonly service: string;
   readonly target: BurnTarget;
   readonly window: string;
   readonly events: number;
   readonly missed: number;
-  /** Zero where there were no events. */
+  /** Zero if there were no events. */
   readonly burn: number;
 }
 
@@ -53,7 +53,7 @@
 export class BurnRecorder {
   private readonly series = new Map<string, Map<BurnTarget, Bucket[]>>();
 
-  /** Notes events. */
+  /** Adds `count` events to the bucket of `nowMs`. */
   record(service: string, target: BurnTarget, met: boolean, nowMs: number, count = 1): void {
     const buckets = this.bucketsOf(service, target);
     const startMs = Math.floor(nowMs / BUCKET_MS) * BUCKET_MS;
@@ -67,7 +67,10 @@
     else bucket.bad += count;
   }
 
-  /** What was counted, with ages in place of times, so that it can be added to others'. */
+  /**
+   * Returns the counts. Buckets have ages instead of times, so that they can be added to those of
+   * entries with other clocks.
+   */
   export(nowMs: number): BurnSeries[] {
     return [...this.series].flatMap(([service, targets]) =>
       [...targets].map(([target, buckets]) => ({
@@ -93,10 +96,10 @@
   }
 }
 
-/** Adds up the counts of several entries. */
-export function burnReport(all: readonly BurnSeries[]): BurnRow[] {
+/** Adds up the counts of several entries and computes the burn rates. */
+export function burnReport(allSeries: readonly BurnSeries[]): BurnRow[] {
   const rows = new Map<string, { events: number; missed: number }>();
-  for (const { service, target, buckets } of all) {
+  for (const { service, target, buckets } of allSeries) {
     for (const { name, lengthMs } of BURN_WINDOWS) {
       const key = JSON.stringify([service, target, name]);
       const row = rows.get(key) ?? { events: 0, missed: 0 };
--- a/packages/metrics/src/exposition.ts
+++ b/packages/metrics/src/exposition.ts
@@ -1,5 +1,5 @@
 /**
- * Metrics in the usual text exposition.
+ * Metrics of an entry in the Prometheus text format.
  */
 import { Counter, Gauge, Registry, collectDefaultMetrics } from 'prom-client';
 import type { LatencyRecorder, WorkClass } from './latency.js';
@@ -13,7 +13,7 @@
   private readonly requests: Counter;
   private readonly tokens: Counter;
   private readonly latency: Gauge;
-  private readonly open: Gauge;
+  private readonly openRequests: Gauge;
   private readonly latencies: LatencyRecorder;
 
   constructor(latencies: LatencyRecorder) {
@@ -38,7 +38,7 @@
       labelNames: ['service', 'class', 'kind', 'quantile'],
       registers,
     });
-    this.open = new Gauge({
+    this.openRequests = new Gauge({
       name: 'shedline_open_requests',
       help: 'Requests under way by class',
       labelNames: ['class'],
@@ -46,22 +46,22 @@
     });
   }
 
-  /** Notes the end of a request. */
-  requestEnded(service: string, workClass: WorkClass, outcome: RequestOutcome): void {
+  /** Counts a request that has ended. */
+  recordRequestEnd(service: string, workClass: WorkClass, outcome: RequestOutcome): void {
     this.requests.inc({ service, class: workClass, outcome });
   }
 
-  /** Notes generated tokens. */
-  generated(service: string, workClass: WorkClass, tokens: number): void {
+  /** Adds to the number of generated tokens. */
+  recordTokens(service: string, workClass: WorkClass, tokens: number): void {
     this.tokens.inc({ service, class: workClass }, tokens);
   }
 
-  /** Notes how many requests are under way. */
-  setOpen(workClass: WorkClass, count: number): void {
-    this.open.set({ class: workClass }, count);
+  /** Sets the number of requests in progress. */
+  setOpenRequests(workClass: WorkClass, count: number): void {
+    this.openRequests.set({ class: workClass }, count);
   }
 
-  /** The text exposition. */
+  /** Returns all metrics in the text format. */
   async text(): Promise<string> {
     for (const summary of this.latencies.summaries()) {
       const labels = { service: summary.service, class: summary.workClass, kind: summary.kind };
--- a/packages/metrics/src/index.ts
+++ b/packages/metrics/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * Metrics and the burn report.
+ * Metrics of processes and the burn report.
  */
 export * from './burn.js';
 export * from './burn-page.js';
--- a/packages/metrics/src/latency.ts
+++ b/packages/metrics/src/latency.ts
@@ -1,15 +1,15 @@
 /**
- * Latency histograms by service and class of work.
+ * Latency histograms by service and work class.
  */
 import { build } from 'hdr-histogram-js';
 import type { Histogram } from 'hdr-histogram-js';
 
-/** What is measured. */
+/** Kind of latency: to the first token, between two tokens, or to the end of the response. */
 export type LatencyKind = 'firstToken' | 'betweenTokens' | 'wholeAnswer';
-/** Class of the work. */
+/** Class of a request. */
 export type WorkClass = 'online' | 'batch';
 
-/** Percentiles of one histogram. Milliseconds. */
+/** Percentiles of one histogram. */
 export interface LatencySummary {
   readonly service: string;
   readonly workClass: WorkClass;
@@ -22,33 +22,33 @@
 }
 
 const MICROSECONDS_PER_MS = 1000;
-const HIGHEST_MS = 600_000;
+const MAX_TRACKED_MS = 600_000;
 
-/** A histogram that keeps microseconds and answers milliseconds. */
+/** A histogram with a resolution of microseconds; its interface uses milliseconds. */
 export class LatencyHistogram {
   private readonly histogram: Histogram = build({
     lowestDiscernibleValue: 1,
-    highestTrackableValue: HIGHEST_MS * MICROSECONDS_PER_MS,
+    highestTrackableValue: MAX_TRACKED_MS * MICROSECONDS_PER_MS,
     numberOfSignificantValueDigits: 2,
   });
 
-  /** Notes one value. */
+  /** Records a value, limited to the range of the histogram. */
   record(valueMs: number): void {
-    const clipped = Math.min(Math.max(valueMs, 0), HIGHEST_MS);
+    const clipped = Math.min(Math.max(valueMs, 0), MAX_TRACKED_MS);
     this.histogram.recordValue(Math.round(clipped * MICROSECONDS_PER_MS));
   }
 
-  /** Values noted. */
+  /** Number of recorded values. */
   get count(): number {
     return this.histogram.totalCount;
   }
 
-  /** A percentile, such as 99. */
+  /** Returns a percentile, such as 99, in milliseconds. */
   percentileMs(percentile: number): number {
     return this.histogram.getValueAtPercentile(percentile) / MICROSECONDS_PER_MS;
   }
 
-  /** Largest value noted. */
+  /** Largest recorded value. */
   get maxMs(): number {
     return this.histogram.maxValue / MICROSECONDS_PER_MS;
   }
@@ -65,29 +65,28 @@
 export class LatencyRecorder {
   private readonly services = new Map<string, Map<string, LabelledHistogram>>();
 
-  /** Notes one latency. */
   record(service: string, workClass: WorkClass, kind: LatencyKind, valueMs: number): void {
     this.histogram(service, workClass, kind).record(valueMs);
   }
 
-  /** The histogram of a service, to be kept by whoever records often. */
+  /** Returns a histogram; frequent callers keep it to avoid the lookup. */
   histogram(service: string, workClass: WorkClass, kind: LatencyKind): LatencyHistogram {
-    let ofService = this.services.get(service);
-    if (ofService === undefined) {
-      ofService = new Map();
-      this.services.set(service, ofService);
+    let byLabel = this.services.get(service);
+    if (byLabel === undefined) {
+      byLabel = new Map();
+      this.services.set(service, byLabel);
     }
     const label = `${workClass} ${kind}`;
-    const known = ofService.get(label);
+    const known = byLabel.get(label);
     if (known !== undefined) return known.histogram;
     const histogram = new LatencyHistogram();
-    ofService.set(label, { service, workClass, kind, histogram });
+    byLabel.set(label, { service, workClass, kind, histogram });
     return histogram;
   }
 
-  /** All histograms in short. */
+  /** Returns the summaries of all histograms. */
   summaries(): LatencySummary[] {
-    const all = [...this.services.values()].flatMap((ofService) => [...ofService.values()]);
+    const all = [...this.services.values()].flatMap((byLabel) => [...byLabel.values()]);
     return all.map(({ service, workClass, kind, histogram }) => ({
       service,
       workClass,
--- a/packages/metrics/src/process-metrics.test.ts
+++ b/packages/metrics/src/process-metrics.test.ts
@@ -3,7 +3,7 @@
 import { ProcessMetrics } from './process-metrics.js';
 
 describe('metrics of a process', () => {
-  test(title('are written as text, by name and labels'), (t) => {
+  test(title('are written in the text format, by name and labels'), (t) => {
     const metrics = new ProcessMetrics();
     metrics.count('calls_total', { route: 'a', outcome: 'complete' });
     metrics.count('calls_total', { route: 'a', outcome: 'complete' });
