--- a/packages/metrics/src/process-metrics.ts
+++ b/packages/metrics/src/process-metrics.ts
@@ -1,20 +1,20 @@
 /**
- * Counters, latency histograms and gauges of one process, in the usual text exposition.
+ * Counters, latency summaries and gauges of one process, in the Prometheus text format.
  */
 import { LatencyHistogram } from './latency.js';
 
 const QUANTILES = [50, 95, 99] as const;
 
-/** Values of labels by name. */
+/** Label values by label name. */
 export type MetricLabels = Readonly<Record<string, string | number>>;
 
-/** What a process counts. */
+/** Metrics of one process. */
 export class ProcessMetrics {
   private readonly counters = new Map<string, Map<string, number>>();
   private readonly latencies = new Map<string, Map<string, LatencyHistogram>>();
   private readonly gauges = new Map<string, () => number>();
 
-  /** Adds a value that is read when the metrics are. */
+  /** Adds a gauge whose value is read when the metrics are exported. */
   gauge(name: string, read: () => number): void {
     this.gauges.set(name, read);
   }
@@ -26,16 +26,16 @@
     series.set(key, (series.get(key) ?? 0) + 1);
   }
 
-  /** Notes how long something took. */
-  took(name: string, labels: MetricLabels, tookMs: number): void {
+  /** Records a duration. */
+  took(name: string, labels: MetricLabels, durationMs: number): void {
     const series = seriesOf(this.latencies, name);
     const key = labelText(labels);
     const histogram = series.get(key) ?? new LatencyHistogram();
     series.set(key, histogram);
-    histogram.record(tookMs);
+    histogram.record(durationMs);
   }
 
-  /** The text exposition. */
+  /** Returns all metrics in the text format. */
   text(): string {
     const lines: string[] = [];
     for (const [name, series] of this.counters) {
@@ -55,9 +55,9 @@
 function seriesOf<T>(all: Map<string, Map<string, T>>, name: string): Map<string, T> {
   const known = all.get(name);
   if (known !== undefined) return known;
-  const fresh = new Map<string, T>();
-  all.set(name, fresh);
-  return fresh;
+  const created = new Map<string, T>();
+  all.set(name, created);
+  return created;
 }
 
 function labelText(labels: MetricLabels): string {
