--- a/packages/cli/src/cli.test.ts
+++ b/packages/cli/src/cli.test.ts
@@ -7,14 +7,14 @@
 import { DEV_TOKEN, DevFleet } from './dev-fleet.js';
 import { EXIT_CONFLICT, EXIT_DIFFERS, EXIT_NOT_FOUND, EXIT_OK, EXIT_USAGE } from './exit-codes.js';
 
-interface Run {
+interface CommandResult {
   readonly code: number;
   readonly out: string;
   readonly err: string;
 }
 
-/** Runs a command line and keeps what it prints. */
-async function run(...argv: string[]): Promise<Run> {
+/** Runs a command line and captures its output. */
+async function run(...argv: string[]): Promise<CommandResult> {
   const printed = { out: '', err: '' };
   const { stdout, stderr } = process;
   const writeOut = stdout.write.bind(stdout);
@@ -39,7 +39,7 @@
 
 describe('shedline', () => {
   test.serial(
-    title('bad settings, flags and input give one line that names the field'),
+    title('invalid settings, flags and input print one line that names the field'),
     async (t) => {
       const missing = await run('settings', 'check', '/nowhere.json');
       t.is(missing.code, EXIT_USAGE);
--- a/packages/cli/src/cli.ts
+++ b/packages/cli/src/cli.ts
@@ -1,5 +1,5 @@
 /**
- * The command line of shedline.
+ * Parses and runs the shedline command line.
  */
 import yargs from 'yargs';
 import { toShedlineError } from '@shedline/errors';
@@ -14,17 +14,17 @@
 import { addTable } from './commands/table/index.js';
 import { EXIT_OK, EXIT_USAGE, exitCodeOf } from './exit-codes.js';
 
-/** Runs a command line; gives the exit code. */
+/** Runs a command line and returns its exit code. Errors are written to standard error. */
 export async function cli(argv: readonly string[]): Promise<number> {
-  let usage: string | undefined;
+  let usageMessage: string | undefined;
   const parser = yargs([...argv])
     .scriptName('shedline')
     .strict()
-    .demandCommand(1, 'name a command; see shedline --help')
+    .demandCommand(1, 'a command is required; see shedline --help')
     .fail((message: string | null, error: Error | undefined) => {
       if (error !== undefined) throw error;
-      usage = message ?? 'the command line is not accepted';
-      throw new Error(usage);
+      usageMessage = message ?? 'the command line is invalid';
+      throw new Error(usageMessage);
     });
   const commands = [
     addDev,
@@ -37,13 +37,13 @@
     addReport,
     addSettings,
   ];
-  for (const add of commands) add(parser);
+  for (const addCommand of commands) addCommand(parser);
   try {
     await parser.parseAsync();
     return typeof process.exitCode === 'number' ? process.exitCode : EXIT_OK;
   } catch (thrown) {
     const error = toShedlineError(thrown, { step: 'run command', peer: 'command line' });
     process.stderr.write(`shedline: ${error.message}\n`);
-    return usage === undefined ? exitCodeOf(error) : EXIT_USAGE;
+    return usageMessage === undefined ? exitCodeOf(error) : EXIT_USAGE;
   }
 }
--- a/packages/cli/src/commands/control/index.ts
+++ b/packages/cli/src/commands/control/index.ts
@@ -1,5 +1,5 @@
 /**
- * `shedline control`: the control daemon.
+ * `shedline control`: runs the control daemon.
  */
 import type { Argv } from 'yargs';
 import { ControlNode } from '@shedline/control';
@@ -8,7 +8,7 @@
 import { print, usageError } from '../../shared-options.js';
 import { stopOnSignal } from '../../stop-signal.js';
 
-/** Adds the command. */
+/** Adds the `control` command. */
 export function addControl(argv: Argv): Argv {
   return argv.command(
     'control',
@@ -26,8 +26,7 @@
   if (read.isErr) throw read.error;
   const settings = read.value;
   const { control } = settings;
-  if (control === undefined)
-    throw usageError(`${file}: control: must be set for a control instance`);
+  if (control === undefined) throw usageError(`${file}: control: required for a control instance`);
   const logger = createLogger({ level: settings.logLevel, instance: settings.name });
   const node = new ControlNode({ settings, control, logger });
   stopOnSignal(logger, () => node.stop());
--- a/packages/cli/src/commands/entry/index.ts
+++ b/packages/cli/src/commands/entry/index.ts
@@ -1,5 +1,5 @@
 /**
- * `shedline entry`: the entry daemon.
+ * `shedline entry`: runs the entry daemon.
  */
 import type { Argv } from 'yargs';
 import { readSettings } from '@shedline/config';
@@ -9,7 +9,7 @@
 import { print, usageError } from '../../shared-options.js';
 import { stopOnSignal } from '../../stop-signal.js';
 
-/** Adds the command. */
+/** Adds the `entry` command. */
 export function addEntry(argv: Argv): Argv {
   return argv.command(
     'entry',
@@ -27,7 +27,7 @@
   if (read.isErr) throw read.error;
   const settings = read.value;
   const { entry } = settings;
-  if (entry === undefined) throw usageError(`${file}: entry: must be set for an entry instance`);
+  if (entry === undefined) throw usageError(`${file}: entry: required for an entry instance`);
   const logger = createLogger({ level: settings.logLevel, instance: settings.name });
   const ports = entry.controls.map(
     (peer) => new RemoteControlPort({ name: settings.name, secret: settings.instanceSecret, peer }),
--- a/packages/cli/src/commands/job/index.ts
+++ b/packages/cli/src/commands/job/index.ts
@@ -1,5 +1,5 @@
 /**
- * `shedline job`: batch jobs.
+ * `shedline job`: submits, shows and cancels batch jobs.
  */
 import { setTimeout as pause } from 'node:timers/promises';
 import { readFile } from 'node:fs/promises';
@@ -10,7 +10,7 @@
 import {
   print,
   printJson,
-  remoteOf,
+  remoteArguments,
   remoteOptions,
   usageError,
   withClient,
@@ -18,9 +18,9 @@
 
 const DEFAULT_DUE_IN_MINUTES = 60;
 const MS_PER_MINUTE = 60_000;
-const WAIT_INTERVAL_MS = 500;
+const POLL_INTERVAL_MS = 500;
 
-/** Adds the command. */
+/** Adds the `job` command. */
 export function addJob(argv: Argv): Argv {
   return argv.command('job', 'Submit and follow batch jobs', (job) =>
     remoteOptions(job)
@@ -33,20 +33,27 @@
             .option('service', {
               type: 'string',
               demandOption: true,
-              describe: 'Service that runs it',
+              describe: 'Service that executes the items',
             })
             .option('key', {
               type: 'string',
               demandOption: true,
-              describe: 'Key of the job; the same key is the same job',
+              describe: 'Idempotency key of the job; a second submit with it returns the same job',
             })
-            .option('due', { type: 'string', describe: 'Due time, ISO 8601; default: in an hour' })
-            .option('wait', { type: 'boolean', default: false, describe: 'Wait for the end' }),
-        (args) => withClient(remoteOf(args), (client) => submit(client, args, remoteOf(args).json)),
+            .option('due', { type: 'string', describe: 'Due time, ISO 8601; default: in one hour' })
+            .option('wait', {
+              type: 'boolean',
+              default: false,
+              describe: 'Wait until the job has ended',
+            }),
+        (args) =>
+          withClient(remoteArguments(args), (client) =>
+            submit(client, args, remoteArguments(args).json),
+          ),
       )
       .command('status <id>', 'Show a job', idOption, (args) =>
-        withClient(remoteOf(args), async (client) => {
-          printJob(await client.job(args.id), remoteOf(args).json);
+        withClient(remoteArguments(args), async (client) => {
+          printJob(await client.job(args.id), remoteArguments(args).json);
         }),
       )
       .command(
@@ -54,16 +61,16 @@
         'Print the results as NDJSON',
         (results) => idOption(results).option('from', { type: 'number', default: 0 }),
         (args) =>
-          withClient(remoteOf(args), async (client) => {
+          withClient(remoteArguments(args), async (client) => {
             process.stdout.write(await client.results(args.id, args.from));
           }),
       )
-      .command('cancel <id>', 'Stop a job', idOption, (args) =>
-        withClient(remoteOf(args), async (client) => {
-          printJob(await client.cancelJob(args.id), remoteOf(args).json);
+      .command('cancel <id>', 'Cancel a job', idOption, (args) =>
+        withClient(remoteArguments(args), async (client) => {
+          printJob(await client.cancelJob(args.id), remoteArguments(args).json);
         }),
       )
-      .demandCommand(1, 'job: name a command: submit, status, results or cancel'),
+      .demandCommand(1, 'job: a command is required: submit, status, results or cancel'),
   );
 }
 
@@ -99,7 +106,7 @@
   bar?.start(submitted.counts.total, 0);
   let job = submitted;
   while (job.state === 'sealed' || job.state === 'open') {
-    await pause(WAIT_INTERVAL_MS);
+    await pause(POLL_INTERVAL_MS);
     job = await client.job(job.jobId);
     bar?.update(job.counts.total - job.counts.pending);
   }
@@ -107,7 +114,7 @@
   return job;
 }
 
-/** A bar on a terminal; nothing elsewhere. */
+/** Creates a progress bar, or returns undefined if standard error is not a terminal. */
 function progressBar(text: string): SingleBar | undefined {
   if (!process.stderr.isTTY) return undefined;
   return new SingleBar({ format: `{bar} ${text}`, stream: process.stderr });
@@ -116,7 +123,8 @@
 function dueAt(due: string | undefined): number {
   if (due === undefined) return Date.now() + DEFAULT_DUE_IN_MINUTES * MS_PER_MINUTE;
   const dueAtMs = Date.parse(due);
-  if (Number.isNaN(dueAtMs)) throw usageError('due: must be a time such as 2027-01-31T18:00:00Z');
+  if (Number.isNaN(dueAtMs))
+    throw usageError('due: must be an ISO 8601 time such as 2027-01-31T18:00:00Z');
   return dueAtMs;
 }
 
@@ -137,7 +145,7 @@
   try {
     return JSON.parse(line) as JobItem;
   } catch {
-    throw usageError(`${file}: line ${lineNumber} is no JSON`);
+    throw usageError(`${file}: line ${lineNumber} is not valid JSON`);
   }
 }
 
--- a/packages/cli/src/commands/report/index.ts
+++ b/packages/cli/src/commands/report/index.ts
@@ -1,19 +1,22 @@
 /**
- * `shedline report burn`: how fast the services spend their error budgets.
+ * `shedline report burn`: reports how fast the services consume their error budgets.
  */
 import { writeFile } from 'node:fs/promises';
 import type { Argv } from 'yargs';
 import { print, remoteOptions, withClient } from '../../shared-options.js';
 
-/** Adds the command. */
+/** Adds the `report` command. */
 export function addReport(argv: Argv): Argv {
-  return argv.command('report', 'Reports', (report) =>
+  return argv.command('report', 'Print reports', (report) =>
     remoteOptions(report)
       .command(
         'burn',
-        'Service-level burn over 5 minutes, 1 hour and 6 hours',
+        'Error budget burn rates over 5 minutes, 1 hour and 6 hours',
         (burn) =>
-          burn.option('html', { type: 'string', describe: 'Write a page with plots to this file' }),
+          burn.option('html', {
+            type: 'string',
+            describe: 'Write an HTML page with plots to this file',
+          }),
         (args) =>
           withClient(args, async (client) => {
             const format = args.html !== undefined ? 'html' : args.json ? 'json' : 'table';
@@ -23,6 +26,6 @@
             else await writeFile(args.html, text);
           }),
       )
-      .demandCommand(1, 'report: name a report: burn'),
+      .demandCommand(1, 'report: a report is required: burn'),
   );
 }
--- a/packages/cli/src/commands/settings/index.ts
+++ b/packages/cli/src/commands/settings/index.ts
@@ -1,14 +1,14 @@
 /**
- * `shedline settings`: check a file, hash a token, print the JSON Schema.
+ * `shedline settings`: checks a settings file, hashes a token, prints the JSON Schema.
  */
 import type { Argv } from 'yargs';
 import { readSettings, settingsJsonSchema } from '@shedline/config';
 import { sha256Hex } from '@shedline/types';
 import { print, printJson } from '../../shared-options.js';
 
-/** Adds the command. */
+/** Adds the `settings` command. */
 export function addSettings(argv: Argv): Argv {
-  return argv.command('settings', 'Check settings', (settings) =>
+  return argv.command('settings', 'Check and prepare settings', (settings) =>
     settings
       .command(
         'check <file>',
@@ -23,13 +23,13 @@
       })
       .command(
         'hash-token <token>',
-        'Print the hash of a token, for the settings',
+        'Print the SHA-256 hash of a token, as the settings need it',
         (hash) => hash.positional('token', { type: 'string', demandOption: true }),
         ({ token }) => {
           print(sha256Hex(token));
         },
       )
-      .demandCommand(1, 'settings: name a command: check, schema or hash-token'),
+      .demandCommand(1, 'settings: a command is required: check, schema or hash-token'),
   );
 }
 
--- a/packages/cli/src/commands/status/index.ts
+++ b/packages/cli/src/commands/status/index.ts
@@ -1,5 +1,5 @@
 /**
- * `shedline status`: the state of the fleet as one entry sees it.
+ * `shedline status`: shows the state of the fleet as one entry sees it.
  */
 import type { Argv } from 'yargs';
 import type { ControlStatus } from '@shedline/control-client';
@@ -25,7 +25,7 @@
   readonly control: readonly ControlStatus[];
 }
 
-/** Adds the command. */
+/** Adds the `status` command. */
 export function addStatus(argv: Argv): Argv {
   return argv.command('status', 'Show the state of the fleet', remoteOptions, (args) =>
     withClient(args, async (client) => {
--- a/packages/cli/src/commands/table/index.ts
+++ b/packages/cli/src/commands/table/index.ts
@@ -1,5 +1,5 @@
 /**
- * `shedline table`: the table of weights and limits.
+ * `shedline table`: shows and edits the table of service weights and limits.
  */
 import { setTimeout as pause } from 'node:timers/promises';
 import { randomUUID } from 'node:crypto';
@@ -11,13 +11,13 @@
 import {
   print,
   printJson,
-  remoteOf,
+  remoteArguments,
   remoteOptions,
   usageError,
   withClient,
 } from '../../shared-options.js';
 
-const WATCH_INTERVAL_MS = 500;
+const POLL_INTERVAL_MS = 500;
 const IN_FORCE_TIMEOUT_MS = 20_000;
 
 interface TableAnswer {
@@ -41,12 +41,12 @@
   readonly missing: readonly string[];
 }
 
-/** Adds the command. */
+/** Adds the `table` command. */
 export function addTable(argv: Argv): Argv {
   return argv.command('table', 'Show and change the table', (table) =>
     remoteOptions(table)
       .command('show', 'Print the table', {}, (args) =>
-        withClient(remoteOf(args), (client) => show(client, remoteOf(args).json)),
+        withClient(remoteArguments(args), (client) => show(client, remoteArguments(args).json)),
       )
       .command(
         'set <row> <changes..>',
@@ -59,27 +59,36 @@
               type: 'number',
               describe: 'Table revision that the edit is based on',
             })
-            .option('edit-id', { type: 'string', describe: 'Id of the edit; repeat it to resend' }),
-        (args) => withClient(remoteOf(args), (client) => set(client, args, remoteOf(args).json)),
+            .option('edit-id', {
+              type: 'string',
+              describe: 'Id of the edit; a resend with the same id is applied only once',
+            }),
+        (args) =>
+          withClient(remoteArguments(args), (client) =>
+            set(client, args, remoteArguments(args).json),
+          ),
       )
       .command(
         'apply <file>',
-        'Make the table what a file says, as one edit',
+        'Replace the table by the content of a file, as one edit',
         (apply) =>
           fileOption(apply).option('wait', {
             type: 'boolean',
             default: true,
-            describe: 'Wait until it is in force',
+            describe: 'Wait until all entries use the new revision',
           }),
-        (args) => withClient(remoteOf(args), (client) => apply(client, args.file, args.wait)),
+        (args) =>
+          withClient(remoteArguments(args), (client) => apply(client, args.file, args.wait)),
       )
       .command('diff <file>', 'Show what `apply` would change', fileOption, (args) =>
-        withClient(remoteOf(args), (client) => diff(client, args.file, remoteOf(args).json)),
+        withClient(remoteArguments(args), (client) =>
+          diff(client, args.file, remoteArguments(args).json),
+        ),
       )
       .command('watch', 'Print each new revision', {}, (args) =>
-        withClient(remoteOf(args), (client) => watch(client)),
+        withClient(remoteArguments(args), (client) => watch(client)),
       )
-      .demandCommand(1, 'table: name a command: show, set, apply, diff or watch'),
+      .demandCommand(1, 'table: a command is required: show, set, apply, diff or watch'),
   );
 }
 
@@ -113,8 +122,8 @@
   args: { row: string; changes: string[]; expect: number | undefined; editId: string | undefined },
   json: boolean,
 ): Promise<void> {
-  const [workspace = '', service = '', ...rest] = args.row.split('/');
-  if (service === '' || rest.length > 0) throw usageError('row: must be WORKSPACE/SERVICE');
+  const [workspace = '', service = '', ...extraParts] = args.row.split('/');
+  if (service === '' || extraParts.length > 0) throw usageError('row: must be WORKSPACE/SERVICE');
   const revision = args.expect ?? (await readTable(client)).revision;
   const answer = (await client.json({
     method: 'PATCH',
@@ -127,16 +136,16 @@
   else print(`accepted as revision ${answer.revision}`);
 }
 
-/** `a.b=1` becomes `{a: {b: 1}}`; values are JSON, or else text. */
+/** Converts `a.b=1` to `{a: {b: 1}}`. A value that is not valid JSON is taken as a string. */
 function changesToBody(changes: readonly string[]): Record<string, unknown> {
   const body: Record<string, unknown> = {};
   for (const change of changes) {
-    const [path = '', ...rest] = change.split('=');
-    if (rest.length === 0) throw usageError(`${change}: must be FIELD=VALUE`);
-    const value = parseValue(rest.join('='));
-    const [outer = '', inner] = path.split('.');
-    if (inner === undefined) body[outer] = value;
-    else body[outer] = { ...(body[outer] as object | undefined), [inner]: value };
+    const [path = '', ...valueParts] = change.split('=');
+    if (valueParts.length === 0) throw usageError(`${change}: must be FIELD=VALUE`);
+    const value = parseValue(valueParts.join('='));
+    const [field = '', nestedField] = path.split('.');
+    if (nestedField === undefined) body[field] = value;
+    else body[field] = { ...(body[field] as object | undefined), [nestedField]: value };
   }
   return body;
 }
@@ -201,31 +210,31 @@
 
 async function waitUntilInForce(client: ShedlineClient, revision: number): Promise<void> {
   const deadlineMs = performance.now() + IN_FORCE_TIMEOUT_MS;
-  let report = await inForce(client, revision);
+  let report = await readInForce(client, revision);
   while (report.missing.length > 0 && performance.now() < deadlineMs) {
-    await pause(WATCH_INTERVAL_MS);
-    report = await inForce(client, revision);
+    await pause(POLL_INTERVAL_MS);
+    report = await readInForce(client, revision);
   }
   const state =
     report.missing.length === 0 ? 'in force' : `not yet in force at ${report.missing.join(', ')}`;
   print(`revision ${revision} is ${state} (${report.confirmed.length} entries confirmed)`);
 }
 
-async function inForce(client: ShedlineClient, revision: number): Promise<InForceAnswer> {
+async function readInForce(client: ShedlineClient, revision: number): Promise<InForceAnswer> {
   const path = `/v1/table/revisions/${revision}`;
   return (await client.json({ method: 'GET', path, repeatable: true })) as InForceAnswer;
 }
 
 async function watch(client: ShedlineClient): Promise<void> {
-  let seen = -1;
+  let printedRevision = -1;
   for (;;) {
     const table = await readTable(client);
-    if (table.revision !== seen) {
-      const changed = table.rows.filter((row) => row.revision > seen);
+    if (table.revision !== printedRevision) {
+      const changed = table.rows.filter((row) => row.revision > printedRevision);
       const names = changed.map((row) => `${row.workspace}/${row.service}`);
       print(`revision ${table.revision}: ${names.join(', ')}`);
-      seen = table.revision;
+      printedRevision = table.revision;
     }
-    await pause(WATCH_INTERVAL_MS);
+    await pause(POLL_INTERVAL_MS);
   }
 }
--- a/packages/cli/src/crash.test.ts
+++ b/packages/cli/src/crash.test.ts
@@ -32,7 +32,7 @@
   readonly response?: unknown;
 }
 
-function startEngine(fleet: ProcessFleet, number: number, incarnation: number): StandInEngine {
+function createEngine(fleet: ProcessFleet, number: number, incarnation: number): StandInEngine {
   return new StandInEngine({
     endpointId: `engine-${number}`,
     models: ['demo-model'],
@@ -68,9 +68,11 @@
     .map((line) => JSON.parse(line) as ResultLine);
 }
 
-describe('a fleet of processes', () => {
+describe('fleet of processes', () => {
   test.serial(
-    title('ends every item exactly once while entries, engines and control instances are killed'),
+    title(
+      'records one result for each item while entries, engines and control instances are killed',
+    ),
     async (t) => {
       const random = seededRandom(11);
       const fleet = await ProcessFleet.create({
@@ -89,7 +91,7 @@
       await fleet.startAll();
       const operator = new ShedlineClient({ urls: fleet.entryUrls, token: FLEET_TOKENS.operator });
       const caller = new ShedlineClient({ urls: fleet.entryUrls, token: FLEET_TOKENS.caller });
-      const engines = [1, 2, 3, 4].map((number) => startEngine(fleet, number, 1));
+      const engines = [1, 2, 3, 4].map((number) => createEngine(fleet, number, 1));
       const allEngines = [...engines];
       try {
         await prepareTable(operator);
@@ -113,10 +115,10 @@
           if (kind === 'engine') {
             const number = Math.floor(random() * engines.length);
             engines[number]?.die();
-            const fresh = startEngine(fleet, number + 1, fault + 2);
-            engines[number] = fresh;
-            allEngines.push(fresh);
-            await fresh.start();
+            const replacement = createEngine(fleet, number + 1, fault + 2);
+            engines[number] = replacement;
+            allEngines.push(replacement);
+            await replacement.start();
             continue;
           }
           const { name } = pick(random, kind === 'entry' ? fleet.entries : fleet.controls);
@@ -135,16 +137,19 @@
           items('many', ITEMS).map((item) => item.customId),
         );
         t.is(many.filter((line) => line.status === 'completed').length, ITEMS);
-        const single = await readResults(caller, once.jobId);
-        t.is(single.length, ONCE_ITEMS);
-        t.true(single.every((line) => line.status === 'completed' || line.status === 'inDoubt'));
-        const sends = new Map<string, number>();
+        const onceResults = await readResults(caller, once.jobId);
+        t.is(onceResults.length, ONCE_ITEMS);
+        t.true(
+          onceResults.every((line) => line.status === 'completed' || line.status === 'inDoubt'),
+        );
+        const attemptsByPrompt = new Map<string, number>();
         for (const engine of allEngines) {
           for (const [prompt, count] of engine.sendsByPrompt) {
-            if (prompt.includes('once')) sends.set(prompt, (sends.get(prompt) ?? 0) + count);
+            if (prompt.includes('once'))
+              attemptsByPrompt.set(prompt, (attemptsByPrompt.get(prompt) ?? 0) + count);
           }
         }
-        t.is(Math.max(...sends.values()), 1);
+        t.is(Math.max(...attemptsByPrompt.values()), 1);
       } finally {
         for (const engine of engines) engine.die();
         await Promise.all([operator.close(), caller.close()]);
--- a/packages/cli/src/dev-fleet.test.ts
+++ b/packages/cli/src/dev-fleet.test.ts
@@ -11,14 +11,14 @@
 const DAY_MS = 86_400_000;
 
 async function withFleet(
-  work: (fleet: DevFleet, client: ShedlineClient, dataDir: string) => Promise<void>,
+  action: (fleet: DevFleet, client: ShedlineClient, dataDir: string) => Promise<void>,
 ): Promise<void> {
   const dataDir = await mkdtemp(join(tmpdir(), 'shedline-'));
   const fleet = new DevFleet({ port: 0, dataDir, logLevel: 'silent' });
   await fleet.start();
   const client = new ShedlineClient({ urls: [fleet.url], token: DEV_TOKEN });
   try {
-    await work(fleet, client, dataDir);
+    await action(fleet, client, dataDir);
   } finally {
     await client.close();
     await fleet.stop();
@@ -33,35 +33,35 @@
   }));
 }
 
-async function untilEnded(client: ShedlineClient, jobId: string): Promise<void> {
+async function waitUntilEnded(client: ShedlineClient, jobId: string): Promise<void> {
   while ((await client.job(jobId)).counts.pending > 0) {
     await pause(50);
   }
 }
 
 describe('shedline dev', () => {
-  test.serial(title('serves the openai client: streams, whole answers, errors and cancels'), (t) =>
+  test.serial(title('serves the openai client: streams, whole responses, errors and aborts'), (t) =>
     withFleet(async (fleet) => {
       const openai = new OpenAI({ baseURL: `${fleet.url}/v1`, apiKey: DEV_TOKEN, maxRetries: 0 });
-      const question = {
+      const request = {
         model: 'demo/chat',
         messages: [{ role: 'user' as const, content: 'which layer?' }],
       };
-      const whole = await openai.chat.completions.create(question);
+      const response = await openai.chat.completions.create(request);
       let text = '';
       for await (const chunk of await openai.chat.completions.create({
-        ...question,
+        ...request,
         stream: true,
       })) {
         text += chunk.choices[0]?.delta.content ?? '';
       }
       t.true(text.length > 0);
-      t.is(text, whole.choices[0]?.message.content ?? '');
+      t.is(text, response.choices[0]?.message.content ?? '');
       const error = await t.throwsAsync(
-        openai.chat.completions.create({ ...question, model: 'demo/nothing' }),
+        openai.chat.completions.create({ ...request, model: 'demo/nothing' }),
       );
       t.true(error instanceof OpenAI.NotFoundError);
-      const stream = await openai.chat.completions.create({ ...question, stream: true });
+      const stream = await openai.chat.completions.create({ ...request, stream: true });
       for await (const chunk of stream) {
         t.is(chunk.object, 'chat.completion.chunk');
         break;
@@ -70,7 +70,7 @@
     }),
   );
 
-  test.serial(title('runs a job to its end and keeps its results over a restart'), (t) =>
+  test.serial(title('completes a job and keeps its results across a restart'), (t) =>
     withFleet(async (fleet, client, dataDir) => {
       const submit = {
         service: 'chat',
@@ -79,16 +79,16 @@
         items: items(30),
       };
       const job = await client.submitJob({ ...submit, chunkItems: 7 });
-      const again = await client.submitJob(submit);
-      t.is(again.jobId, job.jobId);
-      await untilEnded(client, job.jobId);
-      const before = await client.results(job.jobId);
-      t.is(before.trim().split('\n').length, 30);
+      const resubmitted = await client.submitJob(submit);
+      t.is(resubmitted.jobId, job.jobId);
+      await waitUntilEnded(client, job.jobId);
+      const resultsBeforeRestart = await client.results(job.jobId);
+      t.is(resultsBeforeRestart.trim().split('\n').length, 30);
       await fleet.stop();
       const restarted = new DevFleet({ port: 0, dataDir, logLevel: 'silent' });
       await restarted.start();
       const reader = new ShedlineClient({ urls: [restarted.url], token: DEV_TOKEN });
-      t.is(await reader.results(job.jobId), before);
+      t.is(await reader.results(job.jobId), resultsBeforeRestart);
       t.is((await reader.submitJob(submit)).counts.completed, 30);
       await reader.close();
       await restarted.stop();
@@ -96,7 +96,7 @@
   );
 
   test.serial(
-    title('sends a call with an idempotency key once and answers its resend from the record'),
+    title('sends a call with an idempotency key once and replays the stored response on resend'),
     (t) =>
       withFleet(async (_fleet, client) => {
         const call = {
@@ -114,28 +114,30 @@
       }),
   );
 
-  test.serial(title('refuses a bad chunk by its line and stores nothing of it'), (t) =>
-    withFleet(async (_fleet, client) => {
-      const create = { service: 'chat', jobKey: 'bad', dueAtMs: Date.now() + DAY_MS };
-      const job = (await client.json({
-        method: 'POST',
-        path: '/v1/jobs',
-        body: create,
-        repeatable: true,
-      })) as {
-        jobId: string;
-      };
-      const body = `${JSON.stringify(items(1)[0])}\n{"customId": 3, "body": {}}\n`;
-      const put = {
-        method: 'PUT',
-        path: `/v1/jobs/${job.jobId}/items?from=0`,
-        body,
-        repeatable: true,
-      } as const;
-      const refused = await t.throwsAsync(client.json(put));
-      t.regex(refused.message, /line 2: customId/);
-      t.is((await client.job(job.jobId)).received, 0);
-    }),
+  test.serial(
+    title('rejects an invalid chunk with its line number and stores nothing of it'),
+    (t) =>
+      withFleet(async (_fleet, client) => {
+        const create = { service: 'chat', jobKey: 'bad', dueAtMs: Date.now() + DAY_MS };
+        const job = (await client.json({
+          method: 'POST',
+          path: '/v1/jobs',
+          body: create,
+          repeatable: true,
+        })) as {
+          jobId: string;
+        };
+        const body = `${JSON.stringify(items(1)[0])}\n{"customId": 3, "body": {}}\n`;
+        const put = {
+          method: 'PUT',
+          path: `/v1/jobs/${job.jobId}/items?from=0`,
+          body,
+          repeatable: true,
+        } as const;
+        const error = await t.throwsAsync(client.json(put));
+        t.regex(error.message, /line 2: customId/);
+        t.is((await client.job(job.jobId)).received, 0);
+      }),
   );
 
   test.serial(title('a job on a non-idempotent plain service calls it once for each item'), (t) =>
@@ -152,7 +154,7 @@
       };
       const job = await client.submitJob(submit);
       t.false(job.idempotent);
-      await untilEnded(client, job.jobId);
+      await waitUntilEnded(client, job.jobId);
       const lines = (await client.results(job.jobId)).trim().split('\n');
       const numbers = lines.map((line) => {
         const { response } = JSON.parse(line) as { response: { body: { call: number } } };
--- a/packages/cli/src/dev-fleet.ts
+++ b/packages/cli/src/dev-fleet.ts
@@ -1,5 +1,5 @@
 /**
- * A whole fleet in one process: a control instance, an entry, a stand-in engine and a
+ * A complete fleet in one process: a control instance, an entry, a stand-in engine and a
  * stand-in plain service.
  */
 import { setTimeout as pause } from 'node:timers/promises';
@@ -14,14 +14,14 @@
 import { StandInEngine, StandInService } from '@shedline/stand-ins';
 import { sha256Hex } from '@shedline/types';
 
-/** The token of `shedline dev`; no other program accepts it. */
+/** The token that `shedline dev` accepts for all roles; no other command accepts it. */
 export const DEV_TOKEN = 'dev';
 const DEV_WORKSPACE = 'demo';
 const DEV_MODEL = 'demo-model';
 const HOST = '127.0.0.1';
-const POLL_MS = 10;
+const POLL_INTERVAL_MS = 10;
 const DEV_ENGINE_CAPACITY = 64;
-/** A small fast engine, so that a newcomer's first job is soon done. */
+/** Times of a small, fast engine, so that a first job finishes soon. */
 const DEV_ENGINE_TIMES = {
   stepMs: 4,
   perSequenceMs: 0.1,
@@ -36,7 +36,7 @@
   readonly logLevel?: LogLevel;
 }
 
-/** Everything that `shedline dev` runs. */
+/** Runs all parts of `shedline dev`. */
 export class DevFleet {
   readonly logger: Logger;
   private engine: StandInEngine | undefined;
@@ -49,7 +49,7 @@
   constructor(options: DevFleetOptions) {
     const settings = devSettings(options);
     if (settings.control === undefined || settings.entry === undefined) {
-      throw new Error('dev settings have both roles');
+      throw new Error('dev settings must have both roles');
     }
     this.zone = settings.availabilityZone;
     this.logger = createLogger({ level: settings.logLevel, instance: settings.name });
@@ -63,21 +63,21 @@
     });
   }
 
-  /** Where callers reach it. */
+  /** Address for callers. */
   get url(): string {
     return this.entry.address;
   }
 
-  /** Starts; returns once a request would be served. */
+  /** Starts all parts; returns once both stand-ins can serve requests. */
   async start(): Promise<void> {
     await this.control.start();
     await this.prepareTable();
     await this.entry.start();
     await this.startStandIns();
-    while (!this.isServing()) await pause(POLL_MS);
+    while (!this.isServing()) await pause(POLL_INTERVAL_MS);
   }
 
-  /** Stops without cutting a request. */
+  /** Stops all parts after the open requests have finished. */
   async stop(): Promise<void> {
     await this.entry.drain();
     this.engine?.die();
@@ -90,7 +90,7 @@
       entryUrls: [this.url],
       token: DEV_TOKEN,
       availabilityZone: this.zone,
-      // A restarted stand-in is a new incarnation, as a restarted engine would be.
+      // A restarted stand-in announces a new incarnation, as a restarted engine does.
       incarnation: Date.now(),
     };
     this.engine = new StandInEngine({
@@ -112,7 +112,7 @@
     return endpoints.isUsable('engine-1', nowMs) && endpoints.isUsable('ledger-1', nowMs);
   }
 
-  /** The first start fills the table; later starts find it. */
+  /** Fills the table on the first start; later starts find it in the data directory. */
   private async prepareTable(): Promise<void> {
     const table = await this.client.table(-1);
     if (table.revision > 0) return;
--- a/packages/cli/src/durability.test.ts
+++ b/packages/cli/src/durability.test.ts
@@ -6,7 +6,7 @@
 
 const BIN = fileURLToPath(new URL('./bin.js', import.meta.url));
 
-function clientOf(fleet: ProcessFleet): ControlClient {
+function createClient(fleet: ProcessFleet): ControlClient {
   const ports = fleet.controlPeers.map(
     (peer) => new RemoteControlPort({ name: 'tester', secret: fleet.secret, peer }),
   );
@@ -30,30 +30,35 @@
 async function leaderOf(client: ControlClient): Promise<string> {
   const statuses = await client.statuses();
   const groups = statuses.flatMap((status) => status.groups).filter(({ group }) => group === 0);
-  const newest = groups.sort((a, b) => b.term - a.term).find(({ role }) => role === 'leader');
-  return newest?.leader ?? '';
+  const leading = groups.sort((a, b) => b.term - a.term).find(({ role }) => role === 'leader');
+  return leading?.leader ?? '';
 }
 
-async function untilVoters(client: ControlClient, count: number, without: string): Promise<void> {
+/** Waits until all three groups have `count` voters, without the member `removedId`. */
+async function waitUntilVoters(
+  client: ControlClient,
+  count: number,
+  removedId: string,
+): Promise<void> {
   const deadlineMs = Date.now() + 30_000;
   while (Date.now() < deadlineMs) {
     const statuses = await client.statuses();
     const leading = statuses
       .flatMap((status) => status.groups)
       .filter(({ role }) => role === 'leader');
-    const whole = leading.every(
-      ({ voters }) => voters.length === count && !voters.includes(without),
+    const isRepaired = leading.every(
+      ({ voters }) => voters.length === count && !voters.includes(removedId),
     );
-    if (leading.length === 3 && whole) return;
+    if (leading.length === 3 && isRepaired) return;
     await pause(100);
   }
-  throw new Error('the groups were not repaired in time');
+  throw new Error('the groups did not get their full set of voters before the timeout');
 }
 
 describe('control instances as processes', () => {
   test.serial(
     title(
-      'no acknowledged edit is lost over a killed leader, a frozen one, a wiped disk, its repair and another kill',
+      'no acknowledged edit is lost when leaders are killed, frozen, and lose their data directory',
     ),
     async (t) => {
       const fleet = await ProcessFleet.create({
@@ -68,7 +73,7 @@
         },
       });
       await fleet.startAll();
-      const client = clientOf(fleet);
+      const client = createClient(fleet);
       let revision = 0;
       const editMany = async (count: number): Promise<void> => {
         for (let n = 0; n < count; n += 1) revision = await edit(client, revision);
@@ -91,7 +96,7 @@
         await fleet.kill(second);
         await fleet.wipe(second);
         await fleet.start(second);
-        await untilVoters(client, 3, wipedId);
+        await waitUntilVoters(client, 3, wipedId);
         const third = await leaderOf(client);
         await fleet.kill(third);
         await editMany(20);
@@ -101,7 +106,7 @@
           table.rows.map((row) => row.weight).sort((a, b) => a - b),
           [276, 277, 278, 279, 280],
         );
-        t.is(await edit(client, 17).catch(() => 0), 18, 'a resent edit gets its first answer');
+        t.is(await edit(client, 17).catch(() => 0), 18, 'a resent edit gets its original response');
       } finally {
         client.close();
         await fleet.close();
--- a/packages/cli/src/exit-codes.ts
+++ b/packages/cli/src/exit-codes.ts
@@ -1,22 +1,22 @@
 /**
- * Exit codes of the command; documented in docs/command-line.md.
+ * Exit codes of the `shedline` command; documented in docs/command-line.md.
  */
 import type { ShedlineError } from '@shedline/errors';
 
-/** All went well. */
+/** The command succeeded. */
 export const EXIT_OK = 0;
-/** Something failed that may pass: a connection, an overload, a time-out. */
+/** A failure that may be transient: a connection error, an overload, a timeout. */
 export const EXIT_FAILED = 1;
-/** The command line, the settings or the input are wrong. */
+/** The command line, the settings or the input are invalid. */
 export const EXIT_USAGE = 2;
-/** An edit lost against another, or a key stands for something else. */
+/** An edit conflicts with a newer one, or an idempotency key was used for another request. */
 export const EXIT_CONFLICT = 3;
-/** There is no such thing, or the token may not see it. */
+/** The requested object does not exist, or the token gives no access to it. */
 export const EXIT_NOT_FOUND = 4;
-/** A difference was found by `table diff`. */
+/** `table diff` found a difference. */
 export const EXIT_DIFFERS = 5;
 
-/** The exit code for an error. */
+/** Returns the exit code for an error. */
 export function exitCodeOf(error: ShedlineError): number {
   switch (error.type) {
     case 'invalid_request':
--- a/packages/cli/src/index.ts
+++ b/packages/cli/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * The shedline command as a library.
+ * Library interface of the `shedline` command.
  */
 export * from './cli.js';
 export * from './dev-fleet.js';
--- a/packages/cli/src/local-fleet.ts
+++ b/packages/cli/src/local-fleet.ts
@@ -1,5 +1,5 @@
 /**
- * A small fleet in the process of a test: one control instance, entries, stand-in engines.
+ * A small fleet inside the test process: one control instance, entries and stand-in engines.
  */
 import { setTimeout as pause } from 'node:timers/promises';
 import { mkdtemp, rm } from 'node:fs/promises';
@@ -24,14 +24,15 @@
 export interface LocalFleetOptions {
   readonly entries?: number;
   readonly engines?: number;
-  /** Further fields of the engines. */
+  /** Additional options of every engine. */
   readonly engine?: Partial<StandInEngineOptions>;
-  /** Fields of the row `demo/chat` beyond its kind and model. */
+  /** Additional fields of the table row `demo/chat`. */
   readonly row?: Readonly<Record<string, unknown>>;
+  /** Additional settings of every entry. */
   readonly entry?: Readonly<Record<string, unknown>>;
 }
 
-/** Everything that a test of the online path needs. */
+/** Runs all processes that a test of the online path needs. */
 export class LocalFleet {
   readonly engines: StandInEngine[] = [];
   entries: EntryNode[] = [];
@@ -52,7 +53,7 @@
     }));
     this.settings = peers.map((peer) => entrySettings(peer, peers, folder, options.entry ?? {}));
     const first = this.settings[0];
-    if (first?.control === undefined) throw new Error('a fleet has at least one entry');
+    if (first?.control === undefined) throw new Error('a fleet must have at least one entry');
     const logger = createLogger({ level: 'silent' });
     this.control = new ControlNode({ settings: first, control: first.control, logger });
     this.controlClient = new ControlClient({ ports: [this.control.port] });
@@ -67,7 +68,7 @@
     for (const settings of fleet.settings) await fleet.startEntry(settings);
     for (let number = 1; number <= (options.engines ?? 1); number += 1)
       await fleet.addEngine(number);
-    await fleet.untilUsable(options.engines ?? 1);
+    await fleet.waitUntilUsable(options.engines ?? 1);
     return fleet;
   }
 
@@ -76,17 +77,17 @@
     return this.entries.map((entry) => entry.address);
   }
 
-  /** A caller of `demo`. */
-  caller(): ShedlineClient {
+  /** Creates a client with the caller token of workspace `demo`. */
+  createCaller(): ShedlineClient {
     return new ShedlineClient({ urls: this.urls, token: FLEET_TOKENS.caller });
   }
 
-  /** An operator. */
-  operator(): ShedlineClient {
+  /** Creates a client with the operator token. */
+  createOperator(): ShedlineClient {
     return new ShedlineClient({ urls: this.urls, token: FLEET_TOKENS.operator });
   }
 
-  /** Starts one more engine. */
+  /** Starts an additional engine. */
   async addEngine(
     number: number,
     options: Partial<StandInEngineOptions> = {},
@@ -105,16 +106,16 @@
     return engine;
   }
 
-  /** Waits until every entry takes so many engines for usable. */
-  async untilUsable(count: number): Promise<void> {
-    const usable = (entry: EntryNode): number =>
+  /** Waits until every entry sees exactly `count` usable engines. */
+  async waitUntilUsable(count: number): Promise<void> {
+    const usableCount = (entry: EntryNode): number =>
       entry.fleet.endpoints.forModel(MODEL, performance.now()).length;
-    while (!this.entries.every((entry) => usable(entry) === count)) {
+    while (!this.entries.every((entry) => usableCount(entry) === count)) {
       await pause(20);
     }
   }
 
-  /** Starts an entry again under its old name and address, after it was drained. */
+  /** Restarts a drained entry with the same name and address. */
   async restartEntry(index: number): Promise<void> {
     const settings = this.settings[index];
     const port = Number(new URL(this.urls[index] ?? '').port);
@@ -123,7 +124,7 @@
     this.entries[index] = await this.createEntry({ ...settings, entry });
   }
 
-  /** Stops everything at once. */
+  /** Stops all parts without draining them, and removes the data directory. */
   async close(): Promise<void> {
     for (const engine of this.engines) engine.die();
     await Promise.all(this.entries.map((entry) => entry.kill()));
@@ -136,7 +137,7 @@
   }
 
   private async createEntry(settings: Settings): Promise<EntryNode> {
-    if (settings.entry === undefined) throw new Error('these settings have no entry');
+    if (settings.entry === undefined) throw new Error('the settings have no entry section');
     const logger = createLogger({ level: 'silent' });
     const entry = new EntryNode({
       settings,
--- a/packages/cli/src/online.test.ts
+++ b/packages/cli/src/online.test.ts
@@ -11,32 +11,32 @@
 
 async function withFleet(
   options: LocalFleetOptions,
-  work: (fleet: LocalFleet, caller: ShedlineClient) => Promise<void>,
+  action: (fleet: LocalFleet, caller: ShedlineClient) => Promise<void>,
 ): Promise<void> {
   const fleet = await LocalFleet.start({ engine: { times: FAST }, ...options });
-  const caller = fleet.caller();
+  const caller = fleet.createCaller();
   try {
-    await work(fleet, caller);
+    await action(fleet, caller);
   } finally {
     await caller.close();
     await fleet.close();
   }
 }
 
-function question(content: string, fault?: string): Record<string, unknown> {
+function chatBody(content: string, fault?: string): Record<string, unknown> {
   const metadata = fault === undefined ? {} : { metadata: { stand_in_fault: fault } };
   return { model: 'demo/chat', messages: [{ role: 'user', content }], stream: true, ...metadata };
 }
 
-/** The undisturbed answer of the stand-in. */
-function expected(content: string): string {
+/** Returns the text that a stand-in engine generates if no fault occurs. */
+function expectedText(content: string): string {
   const generation = planGeneration(`user: ${content}`, undefined);
   return Array.from({ length: generation.tokenCount }, (_, index) => generation.token(index)).join(
     '',
   );
 }
 
-interface Asked {
+interface ChatResult {
   readonly status: number;
   readonly text: string;
   readonly isWhole: boolean;
@@ -44,12 +44,12 @@
   readonly ranHeader: string | null;
 }
 
-/** Asks one entry, without the repetitions of the caller library. */
-async function ask(
+/** Sends one chat request to one entry, without the retries of the caller library. */
+async function sendChat(
   url: string,
   body: Record<string, unknown>,
   headers: Record<string, string> = {},
-): Promise<Asked> {
+): Promise<ChatResult> {
   const response = await fetch(`${url}/v1/chat/completions`, {
     method: 'POST',
     headers: {
@@ -66,7 +66,7 @@
       status: response.status,
       text: '',
       isWhole: false,
-      error: (JSON.parse(raw) as Asked).error,
+      error: (JSON.parse(raw) as ChatResult).error,
       ranHeader,
     };
   }
@@ -74,7 +74,7 @@
   const chunks = events.map(
     (event) =>
       JSON.parse(event.slice(6)) as {
-        error?: Asked['error'];
+        error?: ChatResult['error'];
         choices?: { delta?: { content?: string } }[];
       },
   );
@@ -86,36 +86,39 @@
 describe('online path', () => {
   test.serial(
     title(
-      'a stream whose engine cuts it, dies or falls silent goes on elsewhere as one whole answer',
+      'a stream whose engine resets it, crashes or hangs resumes on another engine and completes',
     ),
     (t) =>
       withFleet(
         { engines: 4, row: { targets: { firstTokenMs: 50, betweenTokensMs: 10 } } },
         async (fleet) => {
           for (const fault of ['cut:3', 'hang:5', 'die:4']) {
-            const asked = await ask(fleet.urls[0] ?? '', question(`find under ${fault}`, fault));
-            t.is(asked.text, expected(`find under ${fault}`), fault);
-            t.true(asked.isWhole, fault);
+            const result = await sendChat(
+              fleet.urls[0] ?? '',
+              chatBody(`find under ${fault}`, fault),
+            );
+            t.is(result.text, expectedText(`find under ${fault}`), fault);
+            t.true(result.isWhole, fault);
           }
         },
       ),
   );
 
   test.serial(
-    title('an answer to another request never reaches the caller, however often it comes'),
+    title('a response to another request never reaches the caller, even if every attempt gets one'),
     (t) =>
       withFleet({ engines: 2 }, async (fleet) => {
-        const asked = await ask(fleet.urls[0] ?? '', question('whose answer', 'crossed!'));
-        t.like(asked, { text: '', isWhole: false, error: { ran: 'unknown' } });
+        const result = await sendChat(fleet.urls[0] ?? '', chatBody('whose answer', 'crossed!'));
+        t.like(result, { text: '', isWhole: false, error: { ran: 'unknown' } });
       }),
   );
 
   test.serial(
-    title('a non-idempotent request is sent once, and its caller is told that it may have run'),
+    title('a non-idempotent request is sent once, and its error says that it may have run'),
     (t) =>
       withFleet({ engines: 3, row: { idempotent: false } }, async (fleet) => {
-        const asked = await ask(fleet.urls[0] ?? '', question('billed script', 'cut:3'));
-        t.like(asked, { isWhole: false, error: { ran: 'unknown' } });
+        const result = await sendChat(fleet.urls[0] ?? '', chatBody('billed script', 'cut:3'));
+        t.like(result, { isWhole: false, error: { ran: 'unknown' } });
         const sends = fleet.engines.map(
           (engine) => engine.sendsByPrompt.get('user: billed script') ?? 0,
         );
@@ -124,9 +127,9 @@
           1,
         );
         const keyed = { 'idempotency-key': 'script-9' };
-        const first = await ask(fleet.urls[0] ?? '', question('keyed script'), keyed);
-        const again = await ask(fleet.urls[0] ?? '', question('keyed script'), keyed);
-        t.is(first.text, expected('keyed script'));
+        const first = await sendChat(fleet.urls[0] ?? '', chatBody('keyed script'), keyed);
+        const again = await sendChat(fleet.urls[0] ?? '', chatBody('keyed script'), keyed);
+        t.is(first.text, expectedText('keyed script'));
         t.is(again.text, first.text);
         const keyedSends = fleet.engines.map(
           (engine) => engine.sendsByPrompt.get('user: keyed script') ?? 0,
@@ -139,12 +142,14 @@
   );
 
   test.serial(
-    title('a refusal that says "not run" reached no engine, and a permanent error is not repeated'),
+    title(
+      'a refusal with ran "no" was executed by no engine, and a permanent error is not retried',
+    ),
     (t) =>
       withFleet({ engines: 2 }, async (fleet) => {
-        const refused = await ask(fleet.urls[0] ?? '', question('full', 'refuse!'));
+        const refused = await sendChat(fleet.urls[0] ?? '', chatBody('full', 'refuse!'));
         t.like(refused, { status: 503, ranHeader: 'no', error: { ran: 'no' } });
-        const bad = await ask(fleet.urls[0] ?? '', question('bad', 'invalid!'));
+        const bad = await sendChat(fleet.urls[0] ?? '', chatBody('bad', 'invalid!'));
         t.like(bad, { status: 400, error: { type: 'invalid_request' } });
         const sends = fleet.engines.map((engine) => engine.sendsByPrompt.get('user: bad') ?? 0);
         t.is(
@@ -152,84 +157,84 @@
           1,
         );
         for (const engine of fleet.engines) engine.die();
-        const gone = await ask(fleet.urls[0] ?? '', question('gone'));
-        t.like(gone, { status: 503, ranHeader: 'no' });
+        const withoutEngines = await sendChat(fleet.urls[0] ?? '', chatBody('gone'));
+        t.like(withoutEngines, { status: 503, ranHeader: 'no' });
       }),
   );
 
   test.serial(
-    title('a leaving endpoint gets no new work from any entry, and its streams end whole'),
+    title('a draining endpoint gets no new requests from any entry, and its streams complete'),
     (t) =>
       withFleet(
         { engines: 2, entries: 3, engine: { times: { ...FAST, stepMs: 20 } } },
         async (fleet) => {
           const [first] = fleet.engines;
-          const running = fleet.urls.map((url, n) => ask(url, question(`running ${n}`)));
+          const running = fleet.urls.map((url, n) => sendChat(url, chatBody(`running ${n}`)));
           await pause(100);
           await first?.leave();
           await pause(200);
           const before = first?.sends.size;
           const later = await Promise.all(
             Array.from({ length: 12 }, (_, n) =>
-              ask(fleet.urls[n % 3] ?? '', question(`later ${n}`)),
+              sendChat(fleet.urls[n % 3] ?? '', chatBody(`later ${n}`)),
             ),
           );
           t.is(first?.sends.size, before);
-          for (const asked of [...(await Promise.all(running)), ...later]) t.true(asked.isWhole);
+          for (const result of [...(await Promise.all(running)), ...later]) t.true(result.isWhole);
         },
       ),
   );
 
-  test.serial(title('a planned stop answers what still arrives while requests run'), (t) =>
+  test.serial(title('a draining entry serves requests that arrive while others are open'), (t) =>
     withFleet({ engine: { times: { ...FAST, stepMs: 30 } } }, async (fleet) => {
       const [url = ''] = fleet.urls;
-      const running = ask(url, question('one that runs when the stop begins'));
+      const running = sendChat(url, chatBody('one that runs when the stop begins'));
       await pause(100);
       const drained = fleet.entries[0]?.drain();
       await pause(100);
-      // A connection that was made before the stop may be taken, and its request read, only now.
-      const late = await ask(url, question('one that arrives after it'));
+      // A connection opened before the drain may be accepted, and its request read, only now.
+      const late = await sendChat(url, chatBody('one that arrives after it'));
       t.true(late.isWhole);
       t.true((await running).isWhole);
       await drained;
     }),
   );
 
-  test.serial(title('an entry that is drained under load cuts nothing, and callers move on'), (t) =>
+  test.serial(title('an entry drained under load aborts no request, and callers use others'), (t) =>
     withFleet(
       { engines: 3, entries: 3, engine: { times: { ...FAST, stepMs: 10 } } },
       async (fleet, caller) => {
-        let stop = false;
-        let answered = 0;
+        let isStopped = false;
+        let completedCount = 0;
         const load = Array.from({ length: 8 }, async (_, worker) => {
-          for (let n = 0; !stop; n += 1) {
+          for (let n = 0; !isStopped; n += 1) {
             const content = `worker ${worker} question ${n}`;
             const answer = await caller.chat({
               service: 'demo/chat',
               messages: [{ role: 'user', content }],
               idempotent: false,
             });
-            t.is(answer.text, expected(content));
-            answered += 1;
+            t.is(answer.text, expectedText(content));
+            completedCount += 1;
           }
         });
         for (const index of [0, 1, 2]) {
           await fleet.entries[index]?.drain();
           await fleet.restartEntry(index);
-          const first = await ask(fleet.urls[index] ?? '', question('first words'));
+          const first = await sendChat(fleet.urls[index] ?? '', chatBody('first words'));
           t.true(first.isWhole, 'a restarted entry knows the endpoints before it listens');
-          await fleet.untilUsable(3);
+          await fleet.waitUntilUsable(3);
         }
-        stop = true;
+        isStopped = true;
         await Promise.all(load);
-        t.true(answered > 20);
+        t.true(completedCount > 20);
       },
     ),
   );
 
   test.serial(
     title(
-      "an operator's limit is in force at every entry together, and a refusal says when to come back",
+      'a limit of the table holds for the sum of all entries, and excess requests get status 429',
     ),
     (t) =>
       withFleet(
@@ -241,15 +246,17 @@
         },
         async (fleet) => {
           await pause(3000);
-          const asked = await Promise.all(
-            Array.from({ length: 60 }, (_, n) => ask(fleet.urls[n % 2] ?? '', question(`q ${n}`))),
+          const results = await Promise.all(
+            Array.from({ length: 60 }, (_, n) =>
+              sendChat(fleet.urls[n % 2] ?? '', chatBody(`q ${n}`)),
+            ),
           );
-          const admitted = asked.filter((answer) => answer.status === 200).length;
+          const admitted = results.filter((result) => result.status === 200).length;
           t.true(admitted >= 2 && admitted <= 10, `${admitted} admitted`);
           t.true(
-            asked.every(
-              (answer) =>
-                answer.status === 200 || (answer.status === 429 && answer.ranHeader === 'no'),
+            results.every(
+              (result) =>
+                result.status === 200 || (result.status === 429 && result.ranHeader === 'no'),
             ),
           );
         },
@@ -258,25 +265,30 @@
 
   describe('orders', () => {
     test.serial(
-      title('an order is carried out once, however often it is asked for, and the model is served'),
+      title('an order that is placed repeatedly is executed once, and the model is then served'),
       (t) =>
         withFleet({ engines: 1, engine: { times: FAST, checksFencing: true } }, async (fleet) => {
-          const operator = fleet.operator();
+          const operator = fleet.createOperator();
           const body = {
             orderId: 'load-1',
             endpointId: 'engine-1',
             kind: 'loadModel',
             subject: 'second-model',
           };
-          const place = { method: 'POST', path: '/v1/orders', body, repeatable: true } as const;
-          await operator.json(place);
-          const state = async (): Promise<string | undefined> => {
+          const placeOrder = {
+            method: 'POST',
+            path: '/v1/orders',
+            body,
+            repeatable: true,
+          } as const;
+          await operator.json(placeOrder);
+          const readState = async (): Promise<string | undefined> => {
             const call = { method: 'GET', path: '/v1/orders', repeatable: true } as const;
             const { orders } = (await operator.json(call)) as { orders: { state: string }[] };
             return orders[0]?.state;
           };
-          while ((await state()) !== 'done') await pause(50);
-          await operator.json(place);
+          while ((await readState()) !== 'done') await pause(50);
+          await operator.json(placeOrder);
           await pause(700);
           t.is(fleet.engines[0]?.orders.get('load-1'), 1);
           t.true(fleet.engines[0]?.announcement().models.includes('second-model'));
@@ -286,15 +298,16 @@
   });
 
   describe('sessions', () => {
-    test.serial(title('any entry honours the token, other workspaces do not see it'), (t) =>
+    test.serial(title('every entry accepts the session, other workspaces cannot see it'), (t) =>
       withFleet({ entries: 2, engines: 2 }, async (fleet, caller) => {
         const session = await caller.openSession('demo/chat');
         for (const url of fleet.urls) {
-          t.true((await ask(url, question('turn'), { 'shedline-session': session })).isWhole);
+          t.true((await sendChat(url, chatBody('turn'), { 'shedline-session': session })).isWhole);
         }
         const forged = `${session.slice(0, -2)}xx`;
         t.is(
-          (await ask(fleet.urls[0] ?? '', question('turn'), { 'shedline-session': forged })).status,
+          (await sendChat(fleet.urls[0] ?? '', chatBody('turn'), { 'shedline-session': forged }))
+            .status,
           404,
         );
         const stranger = new ShedlineClient({ urls: fleet.urls, token: 'other-token' });
@@ -310,17 +323,17 @@
 
     test.serial(
       title(
-        'turns stay at the engine that holds the cache, and take it along when that one leaves',
+        'requests stay on the engine that holds the cache, which is transferred when it drains',
       ),
       (t) =>
         withFleet({ engines: 3 }, async (fleet, caller) => {
           const session = await caller.openSession('demo/chat');
           const history = 'stratigraphy of the trench '.repeat(60);
           const turn = async (n: number): Promise<void> => {
-            const asked = await ask(fleet.urls[0] ?? '', question(`${history} ${n}`), {
+            const result = await sendChat(fleet.urls[0] ?? '', chatBody(`${history} ${n}`), {
               'shedline-session': session,
             });
-            t.true(asked.isWhole);
+            t.true(result.isWhole);
           };
           for (let n = 0; n < 5; n += 1) await turn(n);
           const used = fleet.engines.filter((engine) => engine.sends.size > 0);
--- a/packages/cli/src/shared-options.ts
+++ b/packages/cli/src/shared-options.ts
@@ -7,7 +7,7 @@
 
 const DEFAULT_URL = 'http://127.0.0.1:7400';
 
-/** Options of commands that call a running fleet. */
+/** Arguments of commands that call a running fleet. */
 export interface RemoteArguments {
   readonly url: string;
   readonly token: string | undefined;
@@ -31,43 +31,43 @@
     .option('json', { type: 'boolean', default: false, describe: 'Print JSON' });
 }
 
-/** The options of {@link remoteOptions} among the arguments of a command below it. */
-export function remoteOf(args: unknown): RemoteArguments {
+/** Reads the options of {@link remoteOptions} from the arguments of a subcommand. */
+export function remoteArguments(args: unknown): RemoteArguments {
   return args as RemoteArguments;
 }
 
-/** A client by the options. */
-export function clientOf(args: RemoteArguments): ShedlineClient {
+/** Creates a client from the options. */
+export function createClient(args: RemoteArguments): ShedlineClient {
   if (args.token === undefined) {
-    throw usageError('token: give --token or set SHEDLINE_TOKEN');
+    throw usageError('token: pass --token or set SHEDLINE_TOKEN');
   }
   return new ShedlineClient({ urls: args.url.split(','), token: args.token });
 }
 
-/** Runs a command with a client and closes it afterwards. */
+/** Runs an action with a client and closes the client afterwards. */
 export async function withClient(
   args: RemoteArguments,
-  work: (client: ShedlineClient) => Promise<void>,
+  action: (client: ShedlineClient) => Promise<void>,
 ): Promise<void> {
-  const client = clientOf(args);
+  const client = createClient(args);
   try {
-    await work(client);
+    await action(client);
   } finally {
     await client.close();
   }
 }
 
-/** Prints a line on standard output. */
+/** Prints a line to standard output. */
 export function print(line: string): void {
   process.stdout.write(`${line}\n`);
 }
 
-/** Prints a value as JSON. */
+/** Prints a value as indented JSON. */
 export function printJson(value: unknown): void {
   print(JSON.stringify(value, null, 2));
 }
 
-/** An error of the person at the command line. */
+/** Creates an error for an invalid command line or input file. */
 export function usageError(message: string): ShedlineError {
   return new ShedlineError({
     type: 'invalid_request',
--- a/packages/cli/src/stop-signal.ts
+++ b/packages/cli/src/stop-signal.ts
@@ -1,14 +1,14 @@
 /**
- * Planned stops of daemons.
+ * Graceful shutdown of daemons on signals.
  */
 import type { Logger } from '@shedline/logger';
 
-/** Runs `stop` once on SIGTERM or SIGINT, then ends the process. */
+/** Runs `stop` once on SIGTERM or SIGINT, then exits with 0, or with 1 if `stop` failed. */
 export function stopOnSignal(logger: Logger, stop: () => Promise<void>): void {
-  let stopping = false;
+  let isStopping = false;
   const onSignal = (signal: NodeJS.Signals): void => {
-    if (stopping) return;
-    stopping = true;
+    if (isStopping) return;
+    isStopping = true;
     logger.info('stopping', { step: 'stop', signal });
     stop().then(
       () => process.exit(0),
