--- a/packages/client/src/client.ts
+++ b/packages/client/src/client.ts
@@ -1,6 +1,7 @@
 /**
- * The caller library: finds an entry, moves to another when one is lost, repeats only what is
- * safe, and gives whole answers or says honestly what it knows.
+ * The caller library. Finds an entry, fails over to another one on connection errors, retries only
+ * requests that are safe to repeat, and returns a complete response or an error that states
+ * whether the request may have been executed.
  */
 import { setTimeout as pause } from 'node:timers/promises';
 import { createParser } from 'eventsource-parser';
@@ -15,9 +16,9 @@
 import type { Exchange } from './http-exchange.js';
 
 const CONNECT_TIMEOUT_MS = 500;
-const MAX_TRIES = 5;
-const MAX_PAUSE_MS = 2000;
-const DEFAULT_PAUSE_MS = 100;
+const MAX_ATTEMPTS = 5;
+const MAX_RETRY_DELAY_MS = 2000;
+const DEFAULT_RETRY_DELAY_MS = 100;
 const DEFAULT_DEADLINE_MS = 60_000;
 
 /** Options of {@link ShedlineClient}. */
@@ -29,19 +30,20 @@
   readonly availabilityZone?: string;
 }
 
-/** A call of the interface. */
+/** Options of one call of the HTTP API. */
 export interface CallOptions {
   readonly method: Dispatcher.HttpMethod;
   readonly path: string;
   readonly headers?: Readonly<Record<string, string>>;
   readonly body?: unknown;
-  /** Whether the call may go out again when it is not known whether it ran. */
+  /** Whether the call may be retried if it is unknown whether it was executed. */
   readonly repeatable: boolean;
+  /** Maximum time of the call with its retries; sent to the entry as the deadline. */
   readonly deadlineMs?: number;
   readonly signal?: AbortSignal;
 }
 
-/** A streamed answer in full. */
+/** The complete text of a streamed response. */
 export interface ChatAnswer {
   readonly text: string;
   readonly finishReason: string;
@@ -53,11 +55,11 @@
   readonly messages: readonly { readonly role: string; readonly content: string }[];
   readonly maxTokens?: number;
   readonly session?: string;
-  /** Whether the request may be repeated when an entry is lost in the middle of the answer. */
+  /** Whether the request may be retried if the connection is lost during the response. */
   readonly idempotent?: boolean;
   readonly deadlineMs?: number;
   readonly signal?: AbortSignal;
-  /** Told of each piece of the answer once. */
+  /** Called once for each new piece of the response text. */
   readonly onText?: (text: string) => void;
 }
 
@@ -67,15 +69,18 @@
   readonly body: Readonly<Record<string, unknown>>;
 }
 
+/** State of a streamed request over all its attempts. */
 interface StreamState {
-  received: string;
-  repeated: string;
+  /** Text that was passed to the caller. */
+  deliveredText: string;
+  /** Text that the current attempt has received. */
+  attemptText: string;
   finishReason: string;
-  done: boolean;
+  isDone: boolean;
   error: ShedlineError | undefined;
 }
 
-/** Calls shedline. */
+/** Client of the HTTP API of shedline. */
 export class ShedlineClient {
   private readonly options: ShedlineClientOptions;
   private readonly addresses: EntryAddresses;
@@ -95,21 +100,21 @@
     await this.agent.close();
   }
 
-  /** Calls the interface and reads a JSON answer. */
+  /** Calls the API and parses the response as JSON; undefined if the body is empty. */
   async json(options: CallOptions): Promise<unknown> {
     const text = await this.text(options);
     return text === '' ? undefined : JSON.parse(text);
   }
 
-  /** Calls the interface and reads the answer as text. */
+  /** Calls the API and returns the response body as text. */
   text(options: CallOptions): Promise<string> {
     return this.withRetries(options, async (url) => {
-      const answer = await this.send(url, options);
-      return answer.body.text();
+      const response = await this.send(url, options);
+      return response.body.text();
     });
   }
 
-  /** Opens a session; any entry honours the token. */
+  /** Opens a session and returns its token, which every entry accepts. */
   async openSession(service: string): Promise<string> {
     const call = {
       method: 'POST',
@@ -120,13 +125,13 @@
     return ((await this.json(call)) as { session: string }).session;
   }
 
-  /** Asks a question; the answer is whole, or an error says what is known. */
+  /** Sends a chat request; returns the complete response, or throws an error. */
   async chat(options: ChatOptions): Promise<ChatAnswer> {
     const state: StreamState = {
-      received: '',
-      repeated: '',
+      deliveredText: '',
+      attemptText: '',
       finishReason: '',
-      done: false,
+      isDone: false,
       error: undefined,
     };
     const call: CallOptions = {
@@ -144,10 +149,10 @@
       ...(options.signal === undefined ? {} : { signal: options.signal }),
     };
     await this.withRetries(call, (url) => this.streamOnce(url, call, state, options.onText));
-    return { text: state.received, finishReason: state.finishReason };
+    return { text: state.deliveredText, finishReason: state.finishReason };
   }
 
-  /** Submits a whole job: creates it, sends its items and seals it. Safe to repeat. */
+  /** Creates a job, uploads its items and seals it. Idempotent for the same `jobKey`. */
   async submitJob(options: {
     readonly service: string;
     readonly jobKey: string;
@@ -155,6 +160,7 @@
     readonly items: readonly JobItem[];
     readonly idempotent?: boolean;
     readonly chunkItems?: number;
+    /** Called after each uploaded chunk with the number of items uploaded so far. */
     readonly onSent?: (items: number) => void;
   }): Promise<JobView> {
     const { service, jobKey, dueAtMs, idempotent, items } = options;
@@ -175,17 +181,17 @@
     return this.jobCall('POST', `/v1/jobs/${job.jobId}/seal`, { itemCount: items.length });
   }
 
-  /** A job as it stands. */
+  /** Returns the current state of a job. */
   job(jobId: string): Promise<JobView> {
     return this.jobCall('GET', `/v1/jobs/${jobId}`);
   }
 
-  /** Stops a job. */
+  /** Cancels a job. */
   cancelJob(jobId: string): Promise<JobView> {
     return this.jobCall('POST', `/v1/jobs/${jobId}/cancel`);
   }
 
-  /** Ended items as NDJSON from an index on. */
+  /** Returns the results of ended items from `fromIndex` on, as NDJSON. */
   results(jobId: string, fromIndex = 0): Promise<string> {
     return this.text({
       method: 'GET',
@@ -194,7 +200,7 @@
     });
   }
 
-  /** Every call on a job carries an identity of its own, so that all of them are repeatable. */
+  /** Calls a job endpoint. All these calls are idempotent, so they may always be retried. */
   private async jobCall(
     method: Dispatcher.HttpMethod,
     path: string,
@@ -234,48 +240,53 @@
     const startedMs = performance.now();
     const deadlineMs = options.deadlineMs ?? DEFAULT_DEADLINE_MS;
     let ran: ShedlineError['ran'] = 'no';
-    for (let tries = 1; ; tries += 1) {
-      const url = await this.chooseUrl(tries);
+    for (let attempts = 1; ; attempts += 1) {
+      const url = await this.chooseUrl(attempts);
       try {
         return await attempt(url);
       } catch (thrown) {
         const error = toShedlineError(thrown, { step: options.path, peer: url, ran: 'unknown' });
         if (error.ran !== 'no') ran = error.ran;
         const nowMs = performance.now();
-        if (isLost(error)) this.addresses.failed(url, nowMs);
-        const pauseMs = Math.min(MAX_PAUSE_MS, error.retryAfterMs ?? DEFAULT_PAUSE_MS);
-        const inTime = nowMs - startedMs + pauseMs < deadlineMs;
-        const aborted = options.signal?.aborted === true;
-        if (aborted || tries >= MAX_TRIES || !inTime || !isRepeatable(error, options.repeatable)) {
+        if (isConnectionError(error)) this.addresses.recordFailure(url, nowMs);
+        const pauseMs = Math.min(MAX_RETRY_DELAY_MS, error.retryAfterMs ?? DEFAULT_RETRY_DELAY_MS);
+        const isWithinDeadline = nowMs - startedMs + pauseMs < deadlineMs;
+        const isAborted = options.signal?.aborted === true;
+        if (
+          isAborted ||
+          attempts >= MAX_ATTEMPTS ||
+          !isWithinDeadline ||
+          !mayRetry(error, options.repeatable)
+        ) {
           throw ran === error.ran ? error : new ShedlineError({ ...error.toBody(), ran });
         }
-        await pause(isLost(error) ? 0 : pauseMs);
+        await pause(isConnectionError(error) ? 0 : pauseMs);
       }
     }
   }
 
-  private async chooseUrl(tries: number): Promise<string> {
-    if (this.addresses.isStale(performance.now())) await this.askAddresses();
-    const order = this.addresses.inOrder(performance.now());
-    // A refusal does not make an address bad, but the next try goes elsewhere all the same.
-    return order[(tries - 1) % order.length] ?? '';
+  private async chooseUrl(attempt: number): Promise<string> {
+    if (this.addresses.isStale(performance.now())) await this.refreshAddresses();
+    const urls = this.addresses.inPreferenceOrder(performance.now());
+    // An error response does not mark an address as failed, but the next attempt uses another one.
+    return urls[(attempt - 1) % urls.length] ?? '';
   }
 
-  private async askAddresses(): Promise<void> {
+  private async refreshAddresses(): Promise<void> {
     const zone = this.options.availabilityZone;
     const query = zone === undefined ? '' : `?availabilityZone=${encodeURIComponent(zone)}`;
-    for (const url of this.addresses.inOrder(performance.now())) {
+    for (const url of this.addresses.inPreferenceOrder(performance.now())) {
       try {
-        const answer = await this.send(url, {
+        const response = await this.send(url, {
           method: 'GET',
           path: `/v1/addresses${query}`,
           repeatable: true,
         });
-        const body = (await answer.body.json()) as {
+        const body = (await response.body.json()) as {
           addresses: { url: string }[];
           keepForMs: number;
         };
-        this.addresses.keep(
+        this.addresses.update(
           body.addresses.map((address) => address.url),
           body.keepForMs,
           performance.now(),
@@ -284,7 +295,7 @@
       } catch (thrown) {
         const error = toShedlineError(thrown, { step: 'addresses', peer: url });
         if (error.type === 'unauthorized') return;
-        this.addresses.failed(url, performance.now());
+        this.addresses.recordFailure(url, performance.now());
       }
     }
   }
@@ -295,23 +306,23 @@
     state: StreamState,
     onText: ChatOptions['onText'],
   ): Promise<void> {
-    state.repeated = '';
+    state.attemptText = '';
     state.finishReason = '';
     clearError(state);
-    const answer = await this.send(url, call);
+    const response = await this.send(url, call);
     const parser = createParser({
       onEvent: ({ data }) => {
-        takeEvent(state, data, onText);
+        applyEvent(state, data, onText);
       },
     });
     const decoder = new TextDecoder();
-    for await (const bytes of answer.body as AsyncIterable<Buffer>) {
+    for await (const bytes of response.body as AsyncIterable<Buffer>) {
       parser.feed(decoder.decode(bytes, { stream: true }));
     }
     const failure = errorOf(state);
     if (failure !== undefined) throw failure;
-    if (state.done) return;
-    const message = `${url} broke the answer off`;
+    if (state.isDone) return;
+    const message = `${url} ended the response before it was complete`;
     throw new ShedlineError({
       type: 'unavailable',
       message,
@@ -322,10 +333,13 @@
   }
 }
 
-/** A repeated answer begins again: what was passed on already is passed over. */
-function takeEvent(state: StreamState, data: string, onText: ChatOptions['onText']): void {
+/**
+ * Applies a stream event. A retried response starts from the beginning: text that was already
+ * delivered is skipped.
+ */
+function applyEvent(state: StreamState, data: string, onText: ChatOptions['onText']): void {
   if (data === '[DONE]') {
-    state.done = state.finishReason !== '';
+    state.isDone = state.finishReason !== '';
     return;
   }
   const chunk = JSON.parse(data) as {
@@ -337,20 +351,20 @@
   state.finishReason = choice?.finish_reason ?? state.finishReason;
   const text = choice?.delta?.content ?? '';
   if (text === '') return;
-  state.repeated += text;
-  if (!state.repeated.startsWith(state.received)) {
-    if (state.received.startsWith(state.repeated)) return;
+  state.attemptText += text;
+  if (!state.attemptText.startsWith(state.deliveredText)) {
+    if (state.deliveredText.startsWith(state.attemptText)) return;
     state.error = new ShedlineError({
       type: 'endpoint_failed',
-      message: 'the repeated answer differs from the part that was received before',
+      message: 'the response of the retry differs from the part that was already delivered',
       step: 'continue answer',
       ran: 'yes',
     });
     return;
   }
-  const fresh = state.repeated.slice(state.received.length);
-  state.received = state.repeated;
-  if (fresh !== '') onText?.(fresh);
+  const newText = state.attemptText.slice(state.deliveredText.length);
+  state.deliveredText = state.attemptText;
+  if (newText !== '') onText?.(newText);
 }
 
 function clearError(state: StreamState): void {
@@ -361,12 +375,18 @@
   return state.error;
 }
 
-function isLost(error: ShedlineError): boolean {
+function isConnectionError(error: ShedlineError): boolean {
   return error.type === 'unavailable' && error.cause !== undefined;
 }
 
-function isRepeatable(error: ShedlineError, repeatable: boolean): boolean {
-  const passing = ['unavailable', 'overloaded', 'limit_reached', 'endpoint_failed', 'in_progress'];
-  if (!passing.includes(error.type)) return false;
-  return error.ran === 'no' || repeatable || error.type === 'in_progress';
+function mayRetry(error: ShedlineError, isRepeatable: boolean): boolean {
+  const transient = [
+    'unavailable',
+    'overloaded',
+    'limit_reached',
+    'endpoint_failed',
+    'in_progress',
+  ];
+  if (!transient.includes(error.type)) return false;
+  return error.ran === 'no' || isRepeatable || error.type === 'in_progress';
 }
--- a/packages/client/src/entry-addresses.ts
+++ b/packages/client/src/entry-addresses.ts
@@ -1,47 +1,47 @@
 /**
- * Which entry to use: keeps the answer to `addresses` for its time and passes over addresses
- * that failed lately. A pure decision class.
+ * Chooses the entries to call: caches the response of `/v1/addresses` for as long as it says, and
+ * avoids addresses that failed recently. Does no I/O; the caller passes the time.
  */
 
-/** Time for which an address that failed is passed over. */
-const AVOID_MS = 5000;
+/** Time for which an address is avoided after a failure. */
+const AVOID_FAILED_MS = 5000;
 
 /** Options of {@link EntryAddresses}. */
 export interface EntryAddressesOptions {
-  /** Addresses from the settings, asked when no kept answer is left. */
+  /** Configured addresses, used when no cached address is usable. */
   readonly seeds: readonly string[];
 }
 
-/** Addresses of entries. */
+/** The known addresses of entries, with their recent failures. */
 export class EntryAddresses {
   private readonly seeds: readonly string[];
-  private kept: readonly string[] = [];
-  private keptUntilMs = -Infinity;
+  private cachedUrls: readonly string[] = [];
+  private cachedUntilMs = -Infinity;
   private readonly avoidedUntilMs = new Map<string, number>();
 
   constructor(options: EntryAddressesOptions) {
     this.seeds = options.seeds;
   }
 
-  /** Whether the addresses should be asked for again. */
+  /** Whether the addresses should be requested again. */
   isStale(nowMs: number): boolean {
-    return nowMs >= this.keptUntilMs || this.usable(this.kept, nowMs).length === 0;
+    return nowMs >= this.cachedUntilMs || this.usable(this.cachedUrls, nowMs).length === 0;
   }
 
-  /** Keeps an answer. */
-  keep(urls: readonly string[], keepForMs: number, nowMs: number): void {
-    this.kept = urls;
-    this.keptUntilMs = nowMs + keepForMs;
+  /** Caches a list of addresses for `keepForMs`. */
+  update(urls: readonly string[], keepForMs: number, nowMs: number): void {
+    this.cachedUrls = urls;
+    this.cachedUntilMs = nowMs + keepForMs;
   }
 
-  /** Notes that an address failed. */
-  failed(url: string, nowMs: number): void {
-    this.avoidedUntilMs.set(url, nowMs + AVOID_MS);
+  /** Records that an address failed; it is avoided for a while. */
+  recordFailure(url: string, nowMs: number): void {
+    this.avoidedUntilMs.set(url, nowMs + AVOID_FAILED_MS);
   }
 
-  /** Addresses in the order in which to try them; those that failed lately come last. */
-  inOrder(nowMs: number): string[] {
-    const all = [...new Set([...this.kept, ...this.seeds])];
+  /** Returns the addresses in the order in which to try them; recently failed ones come last. */
+  inPreferenceOrder(nowMs: number): string[] {
+    const all = [...new Set([...this.cachedUrls, ...this.seeds])];
     const usable = this.usable(all, nowMs);
     return [...usable, ...all.filter((url) => !usable.includes(url))];
   }
--- a/packages/client/src/http-exchange.ts
+++ b/packages/client/src/http-exchange.ts
@@ -1,5 +1,5 @@
 /**
- * One HTTP exchange with one address.
+ * Sends one HTTP request to one address and converts failures to typed errors.
  */
 import { request } from 'undici';
 import type { Dispatcher } from 'undici';
@@ -7,7 +7,7 @@
 import type { ErrorBody } from '@shedline/errors';
 import type { Ran } from '@shedline/types';
 
-/** A request to an entry. */
+/** Options of {@link exchange}. */
 export interface ExchangeOptions {
   readonly url: string;
   readonly method: Dispatcher.HttpMethod;
@@ -19,13 +19,16 @@
   readonly dispatcher?: Dispatcher;
 }
 
-/** A successful answer. */
+/** A response with a status below 400. */
 export interface Exchange {
   readonly status: number;
   readonly body: Dispatcher.ResponseData['body'];
 }
 
-/** Sends a request; a refusal or a broken connection is thrown with what is known of it. */
+/**
+ * Sends a request. Throws a ShedlineError for an error status or a connection error; its `ran`
+ * says whether the request may have been executed.
+ */
 export async function exchange(options: ExchangeOptions): Promise<Exchange> {
   let response: Dispatcher.ResponseData;
   try {
@@ -37,14 +40,14 @@
       ...(options.dispatcher === undefined ? {} : { dispatcher: options.dispatcher }),
     });
   } catch (error) {
-    throw connectionError(error, options);
+    throw createConnectionError(error, options);
   }
   if (response.statusCode < 400) return { status: response.statusCode, body: response.body };
-  throw refusalOf(response.statusCode, await response.body.text(), options);
+  throw errorOfResponse(response.statusCode, await response.body.text(), options);
 }
 
-/** An error of a connection, with what it proves about the request. */
-export function connectionError(error: unknown, options: ExchangeOptions): ShedlineError {
+/** Creates the error for a connection error; `ran` is 'no' if the request was provably not sent. */
+export function createConnectionError(error: unknown, options: ExchangeOptions): ShedlineError {
   const code = (error as { code?: string }).code ?? '';
   const ran: Ran = provesNotSent(error) ? 'no' : 'unknown';
   const reason = error instanceof Error ? error.message : String(error);
@@ -58,14 +61,14 @@
   });
 }
 
-function refusalOf(status: number, text: string, options: ExchangeOptions): ShedlineError {
+function errorOfResponse(status: number, text: string, options: ExchangeOptions): ShedlineError {
   try {
     const { error, ...details } = JSON.parse(text) as { error: ErrorBody };
     return errorFromBody({ ...error, details });
   } catch {
     return new ShedlineError({
       type: 'internal',
-      message: `${options.url} answered ${status}`,
+      message: `${options.url} responded with status ${status}`,
       step: `${options.method} ${options.path}`,
       peer: options.url,
       ran: 'unknown',
--- a/packages/client/src/index.ts
+++ b/packages/client/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * The caller library.
+ * Client library for callers.
  */
 export { ShedlineClient } from './client.js';
 export type {
