--- a/bench/src/support/engine-host.ts
+++ b/bench/src/support/engine-host.ts
@@ -77,8 +77,8 @@
     total.cachedTokens += tokens.cachedTokens;
     total.generatedTokens += tokens.generatedTokens;
     total.running += engine.engine.running;
-    total.sends += engine.sends.size;
-    for (const count of engine.sends.values()) total.repeatedSends += count - 1;
+    total.sends += engine.attemptsById.size;
+    for (const count of engine.attemptsById.values()) total.repeatedSends += count - 1;
   }
   return total;
 }
@@ -87,8 +87,8 @@
   if (request.type === 'start') return start(request);
   if (request.type === 'stats') return stats();
   const engine = engines.get(request.number);
-  if (request.type === 'die') engine?.die();
-  if (request.type === 'leave') await engine?.leave();
+  if (request.type === 'die') engine?.crash();
+  if (request.type === 'leave') await engine?.announceLeaving();
   return undefined;
 }
 
--- a/packages/cli/src/crash.test.ts
+++ b/packages/cli/src/crash.test.ts
@@ -114,7 +114,7 @@
           const kind = ['entry', 'engine', 'control'][fault % 3];
           if (kind === 'engine') {
             const number = Math.floor(random() * engines.length);
-            engines[number]?.die();
+            engines[number]?.crash();
             const replacement = createEngine(fleet, number + 1, fault + 2);
             engines[number] = replacement;
             allEngines.push(replacement);
@@ -144,14 +144,14 @@
         );
         const attemptsByPrompt = new Map<string, number>();
         for (const engine of allEngines) {
-          for (const [prompt, count] of engine.sendsByPrompt) {
+          for (const [prompt, count] of engine.attemptsByPrompt) {
             if (prompt.includes('once'))
               attemptsByPrompt.set(prompt, (attemptsByPrompt.get(prompt) ?? 0) + count);
           }
         }
         t.is(Math.max(...attemptsByPrompt.values()), 1);
       } finally {
-        for (const engine of engines) engine.die();
+        for (const engine of engines) engine.crash();
         await Promise.all([operator.close(), caller.close()]);
         await fleet.close();
       }
--- a/packages/cli/src/dev-fleet.ts
+++ b/packages/cli/src/dev-fleet.ts
@@ -21,7 +21,7 @@
 const HOST = '127.0.0.1';
 const POLL_INTERVAL_MS = 10;
 const DEV_ENGINE_CAPACITY = 64;
-/** Times of a small, fast engine, so that a first job finishes soon. */
+/** Timing of a small, fast engine, so that a first job finishes soon. */
 const DEV_ENGINE_TIMES = {
   stepMs: 4,
   perSequenceMs: 0.1,
@@ -80,8 +80,8 @@
   /** Stops all parts after the open requests have finished. */
   async stop(): Promise<void> {
     await this.entry.drain();
-    this.engine?.die();
-    this.service?.die();
+    this.engine?.crash();
+    this.service?.crash();
     await this.control.stop();
   }
 
--- a/packages/cli/src/local-fleet.ts
+++ b/packages/cli/src/local-fleet.ts
@@ -126,7 +126,7 @@
 
   /** Stops all parts without draining them, and removes the data directory. */
   async close(): Promise<void> {
-    for (const engine of this.engines) engine.die();
+    for (const engine of this.engines) engine.crash();
     await Promise.all(this.entries.map((entry) => entry.kill()));
     await this.control.stop();
     await rm(this.folder, { recursive: true });
--- a/packages/cli/src/online.test.ts
+++ b/packages/cli/src/online.test.ts
@@ -119,11 +119,11 @@
       withFleet({ engines: 3, row: { idempotent: false } }, async (fleet) => {
         const result = await sendChat(fleet.urls[0] ?? '', chatBody('billed script', 'cut:3'));
         t.like(result, { isWhole: false, error: { ran: 'unknown' } });
-        const sends = fleet.engines.map(
-          (engine) => engine.sendsByPrompt.get('user: billed script') ?? 0,
+        const attemptCounts = fleet.engines.map(
+          (engine) => engine.attemptsByPrompt.get('user: billed script') ?? 0,
         );
         t.is(
-          sends.reduce((a, b) => a + b, 0),
+          attemptCounts.reduce((a, b) => a + b, 0),
           1,
         );
         const keyed = { 'idempotency-key': 'script-9' };
@@ -131,11 +131,11 @@
         const again = await sendChat(fleet.urls[0] ?? '', chatBody('keyed script'), keyed);
         t.is(first.text, expectedText('keyed script'));
         t.is(again.text, first.text);
-        const keyedSends = fleet.engines.map(
-          (engine) => engine.sendsByPrompt.get('user: keyed script') ?? 0,
+        const keyedAttemptCounts = fleet.engines.map(
+          (engine) => engine.attemptsByPrompt.get('user: keyed script') ?? 0,
         );
         t.is(
-          keyedSends.reduce((a, b) => a + b, 0),
+          keyedAttemptCounts.reduce((a, b) => a + b, 0),
           1,
         );
       }),
@@ -151,12 +151,14 @@
         t.like(refused, { status: 503, ranHeader: 'no', error: { ran: 'no' } });
         const bad = await sendChat(fleet.urls[0] ?? '', chatBody('bad', 'invalid!'));
         t.like(bad, { status: 400, error: { type: 'invalid_request' } });
-        const sends = fleet.engines.map((engine) => engine.sendsByPrompt.get('user: bad') ?? 0);
+        const attemptCounts = fleet.engines.map(
+          (engine) => engine.attemptsByPrompt.get('user: bad') ?? 0,
+        );
         t.is(
-          sends.reduce((a, b) => a + b, 0),
+          attemptCounts.reduce((a, b) => a + b, 0),
           1,
         );
-        for (const engine of fleet.engines) engine.die();
+        for (const engine of fleet.engines) engine.crash();
         const withoutEngines = await sendChat(fleet.urls[0] ?? '', chatBody('gone'));
         t.like(withoutEngines, { status: 503, ranHeader: 'no' });
       }),
@@ -171,15 +173,15 @@
           const [first] = fleet.engines;
           const running = fleet.urls.map((url, n) => sendChat(url, chatBody(`running ${n}`)));
           await pause(100);
-          await first?.leave();
+          await first?.announceLeaving();
           await pause(200);
-          const before = first?.sends.size;
+          const before = first?.attemptsById.size;
           const later = await Promise.all(
             Array.from({ length: 12 }, (_, n) =>
               sendChat(fleet.urls[n % 3] ?? '', chatBody(`later ${n}`)),
             ),
           );
-          t.is(first?.sends.size, before);
+          t.is(first?.attemptsById.size, before);
           for (const result of [...(await Promise.all(running)), ...later]) t.true(result.isWhole);
         },
       ),
@@ -290,7 +292,7 @@
           while ((await readState()) !== 'done') await pause(50);
           await operator.json(placeOrder);
           await pause(700);
-          t.is(fleet.engines[0]?.orders.get('load-1'), 1);
+          t.is(fleet.engines[0]?.orderCounts.get('load-1'), 1);
           t.true(fleet.engines[0]?.announcement().models.includes('second-model'));
           await operator.close();
         }),
@@ -336,11 +338,13 @@
             t.true(result.isWhole);
           };
           for (let n = 0; n < 5; n += 1) await turn(n);
-          const used = fleet.engines.filter((engine) => engine.sends.size > 0);
+          const used = fleet.engines.filter((engine) => engine.attemptsById.size > 0);
           t.is(used.length, 1);
-          await used[0]?.leave();
+          await used[0]?.announceLeaving();
           await turn(6);
-          const next = fleet.engines.find((engine) => engine !== used[0] && engine.sends.size > 0);
+          const next = fleet.engines.find(
+            (engine) => engine !== used[0] && engine.attemptsById.size > 0,
+          );
           t.true((next?.engine.tokenTotals.cachedTokens ?? 0) > 300);
         }),
     );
--- a/packages/stand-ins/src/announcer.ts
+++ b/packages/stand-ins/src/announcer.ts
@@ -1,5 +1,5 @@
 /**
- * Announces a stand-in to the entries, as endpoints do: to any one that answers.
+ * Announces a stand-in endpoint to the first entry that accepts the announcement.
  */
 import type { Announcement } from '@shedline/types';
 
@@ -8,12 +8,13 @@
   readonly entryUrls: readonly string[];
   readonly token: string;
   readonly intervalMs: number;
-  readonly describe: () => Announcement;
+  /** Called for each heartbeat. */
+  readonly createAnnouncement: () => Announcement;
 }
 
 const REQUEST_TIMEOUT_MS = 1000;
 
-/** Sends heartbeats. */
+/** Sends periodic heartbeats to one entry, and fails over to the next one on errors. */
 export class Announcer {
   private readonly options: AnnouncerOptions;
   private timer: NodeJS.Timeout | undefined;
@@ -23,7 +24,7 @@
     this.options = options;
   }
 
-  /** Begins. */
+  /** Sends a heartbeat now and then periodically. */
   start(): void {
     void this.announce();
     this.timer = setInterval(() => {
@@ -31,17 +32,17 @@
     }, this.options.intervalMs);
   }
 
-  /** Ends without a word, as a lost endpoint does. */
+  /** Stops sending heartbeats without deregistering, as a crashed endpoint does. */
   stop(): void {
     clearInterval(this.timer);
   }
 
-  /** Sends one heartbeat now; true where an entry took it. */
+  /** Sends one heartbeat now; returns whether an entry accepted it. */
   async announce(): Promise<boolean> {
-    const { entryUrls, token, describe } = this.options;
-    const body = JSON.stringify(describe());
-    const first = this.entryIndex % Math.max(1, entryUrls.length);
-    for (const url of [...entryUrls.slice(first), ...entryUrls.slice(0, first)]) {
+    const { entryUrls, token, createAnnouncement } = this.options;
+    const body = JSON.stringify(createAnnouncement());
+    const firstIndex = this.entryIndex % Math.max(1, entryUrls.length);
+    for (const url of [...entryUrls.slice(firstIndex), ...entryUrls.slice(0, firstIndex)]) {
       if (await this.post(`${url}/v1/endpoints/announce`, token, body)) return true;
       this.entryIndex += 1;
     }
--- a/packages/stand-ins/src/batching.ts
+++ b/packages/stand-ins/src/batching.ts
@@ -1,25 +1,25 @@
 /**
- * Continuous batching: one step after another, each giving one token to every running
- * sequence. The time of a step grows with the running sequences and with the prompt tokens
- * that are prefilled in it. Everything is let in; there are no priorities.
+ * Simulates continuous batching: each step generates one token for every running sequence. The
+ * duration of a step grows with the number of running sequences and of prompt tokens prefilled in
+ * it. There is no admission limit and there are no priorities.
  */
 import { prefixHashes, PREFIX_BLOCK_CHARS } from '@shedline/types';
 import { countTokens } from './generation.js';
 import type { Generation } from './generation.js';
 
-/** Times of the stand-in engine. */
+/** Timing model of the stand-in engine. */
 export interface EngineTimes {
-  /** Time of a step without load. */
+  /** Duration of a step without load. */
   readonly stepMs: number;
   /** Time that each running sequence adds to a step. */
   readonly perSequenceMs: number;
   /** Time that each prefilled token adds to a step. */
   readonly perPrefillTokenMs: number;
-  /** Prompt tokens that one step prefills at most. */
+  /** Maximum number of prompt tokens that one step prefills. */
   readonly prefillTokensPerStep: number;
 }
 
-/** Times of a small fast engine. */
+/** Timing of a small, fast engine. */
 export const DEFAULT_ENGINE_TIMES: EngineTimes = {
   stepMs: 8,
   perSequenceMs: 0.4,
@@ -31,21 +31,24 @@
 export interface Sequence {
   readonly requestId: string;
   readonly generation: Generation;
+  /** Position of the next token to generate. */
   position: number;
+  /** Tokens that still have to be prefilled. */
   prefillLeft: number;
-  /** Called with each token; false ends the sequence. */
+  /** Called with each token; if it returns false, the sequence ends without `onEnd`. */
   readonly onToken: (token: string, position: number) => boolean;
+  /** Called after the last token. */
   readonly onEnd: () => void;
 }
 
 /** Options of {@link BatchingEngine}. */
 export interface BatchingEngineOptions {
   readonly times?: EngineTimes;
-  /** Prefix blocks that the cache holds. */
+  /** Capacity of the prefix cache in blocks. */
   readonly cacheBlocks?: number;
 }
 
-/** Steps through its running sequences for as long as there are any. */
+/** Runs steps for as long as there are running sequences. */
 export class BatchingEngine {
   private readonly times: EngineTimes;
   private readonly cacheBlocks: number;
@@ -61,27 +64,27 @@
     this.cacheBlocks = options.cacheBlocks ?? 4096;
   }
 
-  /** Sequences that run now. */
+  /** Number of running sequences. */
   get running(): number {
     return this.sequences.size;
   }
 
-  /** Tokens seen so far. */
+  /** Numbers of prompt, cached and generated tokens since the start. */
   get tokenTotals(): { promptTokens: number; cachedTokens: number; generatedTokens: number } {
     return { ...this.totals };
   }
 
-  /** Prefixes cached since the last call. */
+  /** Returns the hashes of the prefixes cached since the last call. */
   takeNewlyCached(): string[] {
-    const taken = this.newlyCached;
+    const prefixes = this.newlyCached;
     this.newlyCached = [];
-    return taken;
+    return prefixes;
   }
 
-  /** Lets a request in. */
+  /** Starts a sequence. */
   start(prompt: string, sequence: Omit<Sequence, 'prefillLeft'>): void {
     const promptTokens = countTokens(prompt);
-    const cachedTokens = this.useCache(prompt);
+    const cachedTokens = this.cachePrompt(prompt);
     this.totals.promptTokens += promptTokens;
     this.totals.cachedTokens += cachedTokens;
     const prefillLeft = Math.max(1, promptTokens - cachedTokens) + sequence.position;
@@ -89,31 +92,33 @@
     this.schedule();
   }
 
-  /** Ends a request; true where it ran. */
+  /** Cancels a sequence; returns whether it was running. */
   cancel(requestId: string): boolean {
     return this.sequences.delete(requestId);
   }
 
-  /** Puts prefixes into the cache, as an import of a KV cache does. */
+  /** Adds prefixes to the cache, as an import of a KV cache does. */
   importPrefixes(hashes: readonly string[]): void {
-    for (const hash of hashes) this.remember(hash);
+    for (const hash of hashes) this.addToCache(hash);
   }
 
-  /** Ends everything. */
+  /** Stops all sequences without calling `onEnd`. */
   stop(): void {
     clearTimeout(this.timer);
     this.sequences.clear();
   }
 
-  private useCache(prompt: string): number {
+  /** Adds a prompt to the prefix cache; returns how many of its tokens were cached before. */
+  private cachePrompt(prompt: string): number {
     const hashes = prefixHashes(prompt);
     let hits = 0;
     while (hits < hashes.length && this.cache.has(hashes[hits] ?? '')) hits += 1;
-    for (const hash of hashes) this.remember(hash);
+    for (const hash of hashes) this.addToCache(hash);
     return countTokens('x'.repeat(hits * PREFIX_BLOCK_CHARS));
   }
 
-  private remember(hash: string): void {
+  /** Adds a prefix as the most recently used one; evicts the least recently used one if full. */
+  private addToCache(hash: string): void {
     if (!this.cache.has(hash)) this.newlyCached.push(hash);
     this.cache.delete(hash);
     this.cache.set(hash, true);
@@ -126,22 +131,23 @@
     if (this.timer !== undefined || this.sequences.size === 0) return;
     const { stepMs, perSequenceMs, perPrefillTokenMs } = this.times;
     const prefilled = this.prefill();
-    const lengthMs = stepMs + perSequenceMs * this.sequences.size + perPrefillTokenMs * prefilled;
+    const durationMs = stepMs + perSequenceMs * this.sequences.size + perPrefillTokenMs * prefilled;
     this.timer = setTimeout(() => {
       this.timer = undefined;
       this.step();
       this.schedule();
-    }, lengthMs);
+    }, durationMs);
   }
 
+  /** Prefills prompt tokens up to the limit of a step; returns their number. */
   private prefill(): number {
-    let room = this.times.prefillTokensPerStep;
+    let remainingTokens = this.times.prefillTokensPerStep;
     for (const sequence of this.sequences.values()) {
-      const taken = Math.min(room, sequence.prefillLeft);
-      sequence.prefillLeft -= taken;
-      room -= taken;
+      const prefilled = Math.min(remainingTokens, sequence.prefillLeft);
+      sequence.prefillLeft -= prefilled;
+      remainingTokens -= prefilled;
     }
-    return this.times.prefillTokensPerStep - room;
+    return this.times.prefillTokensPerStep - remainingTokens;
   }
 
   private step(): void {
@@ -155,10 +161,13 @@
   private advance(sequence: Sequence): void {
     const { generation, requestId } = sequence;
     if (sequence.position < generation.tokenCount) {
-      const goOn = sequence.onToken(generation.token(sequence.position), sequence.position);
+      const shouldContinue = sequence.onToken(
+        generation.token(sequence.position),
+        sequence.position,
+      );
       sequence.position += 1;
       this.totals.generatedTokens += 1;
-      if (!goOn) {
+      if (!shouldContinue) {
         this.sequences.delete(requestId);
         return;
       }
--- a/packages/stand-ins/src/generation.ts
+++ b/packages/stand-ins/src/generation.ts
@@ -1,5 +1,5 @@
 /**
- * The deterministic text that the stand-in engine generates.
+ * Deterministic text generation of the stand-in engine.
  */
 import { fastHash } from '@shedline/types';
 
@@ -11,22 +11,22 @@
 const TOKEN_SPREAD = 36;
 const CHARS_PER_TOKEN = 4;
 
-/** What an engine will answer to a prompt. */
+/** The tokens that an engine generates for a prompt. */
 export interface Generation {
   readonly tokenCount: number;
   readonly finishReason: 'stop' | 'length';
-  /** The token at a position; the same on every engine and every attempt. */
+  /** Returns the token at a position; it is the same on every engine and in every attempt. */
   token(position: number): string;
 }
 
-/** Plans the answer to a prompt. */
+/** Determines the tokens generated for a prompt. */
 export function planGeneration(prompt: string, maxTokens: number | undefined): Generation {
   const seed = fastHash(prompt);
-  const natural = MIN_TOKENS + (seed % TOKEN_SPREAD);
-  const tokenCount = Math.min(natural, maxTokens ?? natural);
+  const unlimitedCount = MIN_TOKENS + (seed % TOKEN_SPREAD);
+  const tokenCount = Math.min(unlimitedCount, maxTokens ?? unlimitedCount);
   return {
     tokenCount,
-    finishReason: tokenCount < natural ? 'length' : 'stop',
+    finishReason: tokenCount < unlimitedCount ? 'length' : 'stop',
     token: (position) => {
       const word = WORDS[fastHash(`${seed}:${position}`) % WORDS.length] ?? 'stone';
       return position === 0 ? word : ` ${word}`;
@@ -34,7 +34,7 @@
   };
 }
 
-/** Rough number of tokens of a text. */
+/** Estimates the number of tokens of a text. */
 export function countTokens(text: string): number {
   return Math.ceil(text.length / CHARS_PER_TOKEN);
 }
--- a/packages/stand-ins/src/index.ts
+++ b/packages/stand-ins/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * Stand-ins for model engines and plain services.
+ * Stand-in endpoints for tests and `shedline dev`: a model engine and a plain service.
  */
 export * from './batching.js';
 export * from './generation.js';
--- a/packages/stand-ins/src/stand-in-engine.ts
+++ b/packages/stand-ins/src/stand-in-engine.ts
@@ -31,7 +31,7 @@
   readonly cacheBlocks?: number;
   readonly checksFencing?: boolean;
   readonly announceIntervalMs?: number;
-  /** Share of the cache events that are lost. */
+  /** Share of the cache events that are omitted from announcements. */
   readonly cacheEventLossShare?: number;
   readonly random?: () => number;
   readonly incarnation?: number;
@@ -45,11 +45,12 @@
   readonly max_completion_tokens?: number;
   readonly stream?: boolean;
   readonly metadata?: Readonly<Record<string, string>>;
-  /** Tokens of an interrupted answer, from which the engine goes on. */
+  /** Tokens of an interrupted response, after which the engine resumes. */
   readonly resume_tokens?: readonly string[];
 }
 
-interface AnswerParts {
+/** Fields common to all parts of a response. */
+interface ResponseFields {
   readonly requestId: string;
   readonly model: string;
   readonly isChat: boolean;
@@ -57,28 +58,28 @@
 
 type EngineContext = Context<{ Bindings: HttpBindings }>;
 
-const LATE_MS = 1500;
+const LATE_START_DELAY_MS = 1500;
 
-/** One stand-in engine that listens on a port. */
+/** A stand-in engine that listens on a port. */
 export class StandInEngine {
   readonly engine: BatchingEngine;
-  /** Requests by id, to count what ran how often. */
-  readonly sends = new Map<string, number>();
-  /** Sends by the text of the prompt. */
-  readonly sendsByPrompt = new Map<string, number>();
+  /** Number of attempts by request id. */
+  readonly attemptsById = new Map<string, number>();
+  /** Number of attempts by prompt text. */
+  readonly attemptsByPrompt = new Map<string, number>();
   private readonly options: StandInEngineOptions;
   private server: ServerType | undefined;
   private announcer: Announcer | undefined;
   private readonly responses = new Set<ServerResponse>();
-  /** Orders taken, by id. */
-  readonly orders = new Map<string, number>();
+  /** How often each order was received, by order id. */
+  readonly orderCounts = new Map<string, number>();
   private models: string[];
-  private highestFencing = 0;
+  private highestFencingNumber = 0;
   private sequence = 0;
   private leaving = false;
   private url = '';
-  private laggedLoad: EndpointLoad;
-  private heldCacheEvents: string[] = [];
+  private previousLoad: EndpointLoad;
+  private pendingCacheEvents: string[] = [];
 
   constructor(options: StandInEngineOptions) {
     this.options = options;
@@ -87,15 +88,15 @@
       ...(options.times === undefined ? {} : { times: options.times }),
       ...(options.cacheBlocks === undefined ? {} : { cacheBlocks: options.cacheBlocks }),
     });
-    this.laggedLoad = { running: 0, waiting: 0, capacity: options.capacity ?? 32 };
+    this.previousLoad = { running: 0, waiting: 0, capacity: options.capacity ?? 32 };
   }
 
-  /** Where the engine listens. */
+  /** URL on which the engine listens. */
   get address(): string {
     return this.url;
   }
 
-  /** Starts listening and announcing; gives the address. */
+  /** Starts listening and announcing; returns the URL. */
   async start(): Promise<string> {
     const { host = '127.0.0.1', port = 0 } = this.options;
     const app = this.routes();
@@ -109,18 +110,18 @@
         entryUrls,
         token,
         intervalMs: announceIntervalMs,
-        describe: () => this.announcement(),
+        createAnnouncement: () => this.announcement(),
       });
       this.announcer.start();
     }
     return this.url;
   }
 
-  /** One heartbeat; the load in it is that of the heartbeat before. */
+  /** Creates a heartbeat; its load is that at the time of the previous heartbeat. */
   announcement(): Announcement {
     this.sequence += 1;
-    const load = this.laggedLoad;
-    this.laggedLoad = { ...load, running: this.engine.running };
+    const load = this.previousLoad;
+    this.previousLoad = { ...load, running: this.engine.running };
     return {
       endpointId: this.options.endpointId,
       incarnation: this.options.incarnation ?? 1,
@@ -137,14 +138,14 @@
     };
   }
 
-  /** Announces that it leaves, and waits until running requests are done. */
-  async leave(): Promise<void> {
+  /** Announces that the engine is draining; running requests continue. */
+  async announceLeaving(): Promise<void> {
     this.leaving = true;
     await this.announcer?.announce();
   }
 
-  /** Dies: cuts every stream, stops listening and announcing. */
-  die(): void {
+  /** Simulates a crash: resets every response, stops listening and announcing. */
+  crash(): void {
     this.announcer?.stop();
     this.engine.stop();
     for (const response of this.responses) response.destroy();
@@ -153,12 +154,12 @@
     server?.close();
   }
 
-  /** Cache events come one heartbeat late and with gaps. */
+  /** Returns the cache events for a heartbeat: one heartbeat late, and some are lost. */
   private cacheEvents(): string[] {
-    const events = this.heldCacheEvents;
+    const events = this.pendingCacheEvents;
     const { random = Math.random, cacheEventLossShare = 0.1 } = this.options;
-    const fresh = this.engine.takeNewlyCached();
-    this.heldCacheEvents = fresh.filter(() => random() >= cacheEventLossShare);
+    const newEvents = this.engine.takeNewlyCached();
+    this.pendingCacheEvents = newEvents.filter(() => random() >= cacheEventLossShare);
     return events;
   }
 
@@ -178,14 +179,18 @@
       this.engine.importPrefixes(prefixes);
       return c.json({ imported: prefixes.length });
     });
-    app.post('/orders', async (c) => this.takeOrder(c));
+    app.post('/orders', async (c) => this.receiveOrder(c));
     app.get('/stats', (c) =>
-      c.json({ running: this.engine.running, ...this.engine.tokenTotals, sends: this.sends.size }),
+      c.json({
+        running: this.engine.running,
+        ...this.engine.tokenTotals,
+        sends: this.attemptsById.size,
+      }),
     );
     return app;
   }
 
-  private async takeOrder(c: EngineContext): Promise<Response> {
+  private async receiveOrder(c: EngineContext): Promise<Response> {
     const order = await c.req.json<{
       orderId: string;
       kind: string;
@@ -193,11 +198,11 @@
       fencingNumber: number;
     }>();
     const checks = this.options.checksFencing ?? true;
-    if (checks && order.fencingNumber < this.highestFencing) {
+    if (checks && order.fencingNumber < this.highestFencingNumber) {
       return c.json({ error: 'old fencing number' }, 409);
     }
-    this.highestFencing = Math.max(this.highestFencing, order.fencingNumber);
-    this.orders.set(order.orderId, (this.orders.get(order.orderId) ?? 0) + 1);
+    this.highestFencingNumber = Math.max(this.highestFencingNumber, order.fencingNumber);
+    this.orderCounts.set(order.orderId, (this.orderCounts.get(order.orderId) ?? 0) + 1);
     if (order.kind === 'loadModel' && !this.models.includes(order.subject)) {
       this.models.push(order.subject);
     }
@@ -206,75 +211,78 @@
 
   private async generate(c: EngineContext, isChat: boolean): Promise<Response> {
     const request = await c.req.json<GenerationRequest>();
-    const requestId = c.req.header(REQUEST_ID_HEADER) ?? `own-${this.sends.size}`;
-    const prompt = promptOf(request);
-    this.sends.set(requestId, (this.sends.get(requestId) ?? 0) + 1);
-    this.sendsByPrompt.set(prompt, (this.sendsByPrompt.get(prompt) ?? 0) + 1);
+    const requestId = c.req.header(REQUEST_ID_HEADER) ?? `own-${this.attemptsById.size}`;
+    const prompt = promptText(request);
+    this.attemptsById.set(requestId, (this.attemptsById.get(requestId) ?? 0) + 1);
+    this.attemptsByPrompt.set(prompt, (this.attemptsByPrompt.get(prompt) ?? 0) + 1);
     const resumed = request.resume_tokens ?? [];
-    const wanted = parseFault(request.metadata?.stand_in_fault);
-    const fault = wanted?.always === true || resumed.length === 0 ? wanted : undefined;
+    const requestedFault = parseFault(request.metadata?.stand_in_fault);
+    const fault =
+      requestedFault?.appliesToResumed === true || resumed.length === 0
+        ? requestedFault
+        : undefined;
     if (fault?.kind === 'refuse') return c.json({ error: { message: 'engine is full' } }, 503);
     if (fault?.kind === 'invalid') return c.json({ error: { message: 'bad prompt' } }, 400);
-    const parts = {
+    const fields = {
       requestId: fault?.kind === 'crossed' ? `other-${requestId}` : requestId,
       model: request.model ?? '',
       isChat,
     };
     const { outgoing } = c.env;
-    const run = { prompt, request, resumedCount: resumed.length, fault, parts, requestId };
-    if (request.stream === true) this.stream(outgoing, run);
-    else this.whole(outgoing, run);
+    const run = { prompt, request, resumedCount: resumed.length, fault, fields, requestId };
+    if (request.stream === true) this.respondStreaming(outgoing, run);
+    else this.respondWhole(outgoing, run);
     return RESPONSE_ALREADY_SENT;
   }
 
-  private stream(response: ServerResponse, run: EngineRun): void {
-    const { parts, resumedCount } = run;
+  private respondStreaming(response: ServerResponse, run: GenerationRun): void {
+    const { fields, resumedCount } = run;
     response.writeHead(200, {
       'content-type': 'text/event-stream',
-      [REQUEST_ID_HEADER]: parts.requestId,
+      [REQUEST_ID_HEADER]: fields.requestId,
     });
     response.flushHeaders();
-    this.launch(response, run, {
+    this.startGeneration(response, run, {
       onToken: (token, position) => {
         const isFirst = position === resumedCount;
-        response.write(event(chunkOf(parts, token, null, isFirst)));
+        response.write(formatEvent(chunkOf(fields, token, null, isFirst)));
       },
       onEnd: (finishReason, completionTokens) => {
-        response.write(event(chunkOf(parts, '', finishReason, false)));
+        response.write(formatEvent(chunkOf(fields, '', finishReason, false)));
         const usage = usageOf(run.prompt, completionTokens);
-        response.write(event({ ...chunkBase(parts), choices: [], usage }));
+        response.write(formatEvent({ ...chunkBase(fields), choices: [], usage }));
         response.end('data: [DONE]\n\n');
       },
     });
   }
 
-  private whole(response: ServerResponse, run: EngineRun): void {
-    const { parts } = run;
+  private respondWhole(response: ServerResponse, run: GenerationRun): void {
+    const { fields } = run;
     let text = '';
-    this.launch(response, run, {
+    this.startGeneration(response, run, {
       onToken: (token) => {
         text += token;
       },
       onEnd: (finishReason, completionTokens) => {
-        const choice = parts.isChat
+        const choice = fields.isChat
           ? { index: 0, message: { role: 'assistant', content: text }, finish_reason: finishReason }
           : { index: 0, text, finish_reason: finishReason };
         const body = {
-          ...chunkBase(parts),
-          object: parts.isChat ? 'chat.completion' : 'text_completion',
+          ...chunkBase(fields),
+          object: fields.isChat ? 'chat.completion' : 'text_completion',
           choices: [choice],
           usage: usageOf(run.prompt, completionTokens),
         };
         response.writeHead(200, {
           'content-type': 'application/json',
-          [REQUEST_ID_HEADER]: parts.requestId,
+          [REQUEST_ID_HEADER]: fields.requestId,
         });
         response.end(JSON.stringify(body));
       },
     });
   }
 
-  private launch(response: ServerResponse, run: EngineRun, sink: TokenSink): void {
+  private startGeneration(response: ServerResponse, run: GenerationRun, sink: TokenSink): void {
     const { request, requestId, fault, resumedCount, prompt } = run;
     const generation = planGeneration(prompt, request.max_completion_tokens ?? request.max_tokens);
     this.responses.add(response);
@@ -288,7 +296,7 @@
         generation,
         position: resumedCount,
         onToken: (token, position) => {
-          if (fault !== undefined && this.strike(fault, position, response)) return false;
+          if (fault !== undefined && this.applyFault(fault, position, response)) return false;
           sink.onToken(token, position);
           return true;
         },
@@ -297,60 +305,62 @@
         },
       });
     };
-    if (fault?.kind === 'late') setTimeout(start, LATE_MS);
+    if (fault?.kind === 'late') setTimeout(start, LATE_START_DELAY_MS);
     else start();
   }
 
-  /** Carries out a fault that is due; true where the sequence ends by it. */
-  private strike(fault: Fault, position: number, response: ServerResponse): boolean {
+  /** Triggers the fault if its position is reached; returns whether it ends the sequence. */
+  private applyFault(fault: Fault, position: number, response: ServerResponse): boolean {
     if (position < fault.afterTokens) return false;
     if (fault.kind === 'cut') response.end();
-    if (fault.kind === 'die') this.die();
+    if (fault.kind === 'die') this.crash();
     return fault.kind === 'cut' || fault.kind === 'die' || fault.kind === 'hang';
   }
 }
 
-interface EngineRun {
+/** One attempt of a request. */
+interface GenerationRun {
   readonly prompt: string;
   readonly request: GenerationRequest;
   readonly resumedCount: number;
   readonly fault: Fault | undefined;
-  readonly parts: AnswerParts;
+  readonly fields: ResponseFields;
   readonly requestId: string;
 }
 
+/** Receives the generated tokens and writes the response. */
 interface TokenSink {
   readonly onToken: (token: string, position: number) => void;
   readonly onEnd: (finishReason: string, completionTokens: number) => void;
 }
 
-function promptOf(request: GenerationRequest): string {
+function promptText(request: GenerationRequest): string {
   if (request.messages === undefined) return request.prompt ?? '';
   return request.messages
     .map((message) => `${message.role}: ${String(message.content)}`)
     .join('\n');
 }
 
-function chunkBase(parts: AnswerParts): Record<string, unknown> {
+function chunkBase(fields: ResponseFields): Record<string, unknown> {
   return {
-    id: parts.requestId,
-    object: parts.isChat ? 'chat.completion.chunk' : 'text_completion',
+    id: fields.requestId,
+    object: fields.isChat ? 'chat.completion.chunk' : 'text_completion',
     created: 0,
-    model: parts.model,
+    model: fields.model,
   };
 }
 
 function chunkOf(
-  parts: AnswerParts,
+  fields: ResponseFields,
   token: string,
   finishReason: string | null,
   isFirst: boolean,
 ): Record<string, unknown> {
   const delta = isFirst ? { role: 'assistant', content: token } : { content: token };
-  const choice = parts.isChat
+  const choice = fields.isChat
     ? { index: 0, delta: finishReason === null ? delta : {}, finish_reason: finishReason }
     : { index: 0, text: token, finish_reason: finishReason };
-  return { ...chunkBase(parts), choices: [choice] };
+  return { ...chunkBase(fields), choices: [choice] };
 }
 
 function usageOf(prompt: string, completionTokens: number): Record<string, number> {
@@ -362,6 +372,6 @@
   };
 }
 
-function event(value: unknown): string {
+function formatEvent(value: unknown): string {
   return `data: ${JSON.stringify(value)}\n\n`;
 }
--- a/packages/stand-ins/src/stand-in-service.ts
+++ b/packages/stand-ins/src/stand-in-service.ts
@@ -1,5 +1,5 @@
 /**
- * A stand-in plain service that counts each call.
+ * A stand-in plain service that counts its calls.
  */
 import { setTimeout as pause } from 'node:timers/promises';
 import { serve } from '@hono/node-server';
@@ -14,7 +14,7 @@
 /** Options of {@link StandInService}. */
 export interface StandInServiceOptions {
   readonly endpointId: string;
-  /** `workspace/service` names that it answers for. */
+  /** Names of the served services, as `workspace/service`. */
   readonly services: readonly string[];
   readonly availabilityZone?: string;
   readonly host?: string;
@@ -25,13 +25,13 @@
   readonly incarnation?: number;
 }
 
-const LATE_MS = 1500;
-const NEVER_MS = 2 ** 30;
+const LATE_RESPONSE_DELAY_MS = 1500;
+const HANG_DELAY_MS = 2 ** 30;
 
-/** One stand-in service that listens on a port. */
+/** A stand-in service that listens on a port. */
 export class StandInService {
-  /** Calls by idempotency key. */
-  readonly calls = new Map<string, number>();
+  /** Number of calls by idempotency key. */
+  readonly callsByKey = new Map<string, number>();
   private readonly options: StandInServiceOptions;
   private server: ServerType | undefined;
   private announcer: Announcer | undefined;
@@ -44,11 +44,11 @@
     this.options = options;
   }
 
-  /** Starts listening and announcing; gives the address. */
+  /** Starts listening and announcing; returns the URL. */
   async start(): Promise<string> {
     const { host = '127.0.0.1', port = 0, entryUrls = [], token = '' } = this.options;
     const app = new Hono();
-    app.all('*', (c) => this.answer(c));
+    app.all('*', (c) => this.respond(c));
     const info = await new Promise<AddressInfo>((resolve) => {
       this.server = serve({ fetch: app.fetch, hostname: host, port }, resolve);
     });
@@ -58,14 +58,14 @@
         entryUrls,
         token,
         intervalMs: this.options.announceIntervalMs ?? 1000,
-        describe: () => this.announcement(),
+        createAnnouncement: () => this.announcement(),
       });
       this.announcer.start();
     }
     return this.url;
   }
 
-  /** One heartbeat. */
+  /** Creates a heartbeat. */
   announcement(): Announcement {
     this.sequence += 1;
     return {
@@ -83,29 +83,29 @@
     };
   }
 
-  /** Announces that it leaves. */
-  async leave(): Promise<void> {
+  /** Announces that the service is draining. */
+  async announceLeaving(): Promise<void> {
     this.leaving = true;
     await this.announcer?.announce();
   }
 
-  /** Dies: cuts every connection and stops announcing. */
-  die(): void {
+  /** Simulates a crash: resets every connection, stops listening and announcing. */
+  crash(): void {
     this.announcer?.stop();
     const server = this.server;
     if (server !== undefined && 'closeAllConnections' in server) server.closeAllConnections();
     server?.close();
   }
 
-  private async answer(c: Context): Promise<Response> {
+  private async respond(c: Context): Promise<Response> {
     const body = await c.req.text();
     const key = c.req.header('idempotency-key') ?? `call-${this.callCount}`;
     this.callCount += 1;
-    this.calls.set(key, (this.calls.get(key) ?? 0) + 1);
+    this.callsByKey.set(key, (this.callsByKey.get(key) ?? 0) + 1);
     const fault = parseFault(c.req.header('x-stand-in-fault'));
-    if (fault?.kind === 'late') await pause(LATE_MS, undefined, { ref: false });
-    if (fault?.kind === 'hang') await pause(NEVER_MS, undefined, { ref: false });
-    if (fault?.kind === 'die') this.die();
+    if (fault?.kind === 'late') await pause(LATE_RESPONSE_DELAY_MS, undefined, { ref: false });
+    if (fault?.kind === 'hang') await pause(HANG_DELAY_MS, undefined, { ref: false });
+    if (fault?.kind === 'die') this.crash();
     if (fault?.kind === 'refuse') return c.json({ error: 'service failed' }, 500);
     const url = new URL(c.req.url);
     return c.json({
