--- a/packages/cli/src/durability.test.ts
+++ b/packages/cli/src/durability.test.ts
@@ -86,15 +86,15 @@
         await fleet.start(first);
         await editMany(20);
         const frozen = await leaderOf(client);
-        fleet.freeze(frozen, true);
+        fleet.setFrozen(frozen, true);
         await editMany(20);
-        fleet.freeze(frozen, false);
+        fleet.setFrozen(frozen, false);
         await editMany(20);
         const second = await leaderOf(client);
         const wipedId =
           (await client.statuses()).find(({ instance }) => instance === second)?.memberId ?? '';
         await fleet.kill(second);
-        await fleet.wipe(second);
+        await fleet.removeDataDir(second);
         await fleet.start(second);
         await waitUntilVoters(client, 3, wipedId);
         const third = await leaderOf(client);
--- a/packages/test-utils/src/describe.ts
+++ b/packages/test-utils/src/describe.ts
@@ -1,10 +1,10 @@
 /**
- * Nested `describe` blocks for ava, which has only flat titles.
+ * Nested `describe` blocks for ava, which only has flat test titles.
  */
 
 const titles: string[] = [];
 
-/** Runs `body`; titles made inside it by {@link title} begin with `name`. */
+/** Runs `body`; titles that {@link title} creates inside it begin with `name`. */
 export function describe(name: string, body: () => void): void {
   titles.push(name);
   try {
@@ -14,7 +14,7 @@
   }
 }
 
-/** The full title of a test inside the current `describe` blocks. */
+/** Returns the full title of a test, prefixed with the current `describe` blocks. */
 export function title(name: string): string {
   return [...titles, name].join(' > ');
 }
--- a/packages/test-utils/src/free-ports.test.ts
+++ b/packages/test-utils/src/free-ports.test.ts
@@ -6,7 +6,7 @@
 import { describe, title } from './describe.js';
 import { freePorts } from './free-ports.js';
 
-/** As many as an entry of a failure test has to its engines and callers. */
+/** Number of connections that an entry of a failure test has to its engines and callers. */
 const CONNECTIONS = 200;
 
 async function listenOn(t: ExecutionContext, port: number): Promise<Server> {
@@ -18,16 +18,16 @@
 }
 
 describe('freePorts', () => {
-  test(title('gives each port once, and none that is listened on'), async (t) => {
+  test(title('returns each port once, and none that is in use'), async (t) => {
     const first = await freePorts(20);
     for (const port of first) await listenOn(t, port);
     const next = await freePorts(80);
     t.is(new Set([...first, ...next]).size, 100);
   });
 
-  // A control process of a failure test that was killed could not listen again, and ended: its port had become that of an
-  // outgoing connection meanwhile. The evidence: a listener on the port of such a connection fails with EADDRINUSE.
-  test(title('gives none that an outgoing connection may take'), async (t) => {
+  // A restarted process can't listen on its previous port if an outgoing connection has taken the
+  // port in the meantime: listening then fails with EADDRINUSE, and the process exits.
+  test(title('returns no port that an outgoing connection may take'), async (t) => {
     const server = await listenOn(t, 0);
     const { port } = server.address() as AddressInfo;
     const sockets = Array.from({ length: CONNECTIONS }, () => connect(port, '127.0.0.1'));
--- a/packages/test-utils/src/cuttable-relay.ts
+++ b/packages/test-utils/src/partition-relay.ts
@@ -1,27 +1,27 @@
 /**
- * A connection between two instances that a test can cut without a word: bytes stop, and
- * neither side is told.
+ * A TCP relay between two instances that simulates a network partition: it drops all bytes, and
+ * neither side sees its connection close.
  */
 import { connect, createServer } from 'node:net';
 import type { Server, Socket } from 'node:net';
 
-/** Passes bytes on until it is cut. */
+/** Relays bytes in both directions, except while it is partitioned. */
 export class CuttableRelay {
   private readonly server: Server;
   private readonly sockets = new Set<Socket>();
-  private isCut = false;
-  /** Ends of connections that have gone silent for good. */
-  private readonly silent = new WeakSet<Socket>();
+  private isPartitioned = false;
+  /** Sockets from which no more bytes are relayed. */
+  private readonly stalled = new WeakSet<Socket>();
 
   private constructor(targetPort: () => number) {
     this.server = createServer((incoming) => {
       const outgoing = connect(targetPort(), '127.0.0.1');
-      this.join(incoming, outgoing);
-      this.join(outgoing, incoming);
+      this.forward(incoming, outgoing);
+      this.forward(outgoing, incoming);
     });
   }
 
-  /** Starts a relay to a port of this machine, which may be known only later. */
+  /** Starts a relay to a local port; `targetPort` is called for each connection. */
   static async start(targetPort: () => number): Promise<CuttableRelay> {
     const relay = new CuttableRelay(targetPort);
     await new Promise<void>((resolve) => {
@@ -30,39 +30,42 @@
     return relay;
   }
 
-  /** Where to connect. */
+  /** Port on which the relay listens. */
   get port(): number {
     const address = this.server.address();
     return typeof address === 'object' && address !== null ? address.port : 0;
   }
 
-  /** Stops or lets pass. What came while it was cut is lost with its connection. */
-  cut(isCut: boolean): void {
-    this.isCut = isCut;
-    if (isCut) return;
+  /**
+   * Begins or ends a partition. The end closes all open connections, as bytes that arrived during
+   * the partition were dropped.
+   */
+  cut(isPartitioned: boolean): void {
+    this.isPartitioned = isPartitioned;
+    if (isPartitioned) return;
     for (const socket of this.sockets) socket.destroy();
   }
 
-  /** Lets all open connections go silent for good; neither end is told, and new ones work. */
+  /** Stalls all open connections for good without closing them; new connections work. */
   silenceOpen(): void {
-    for (const socket of this.sockets) this.silent.add(socket);
+    for (const socket of this.sockets) this.stalled.add(socket);
   }
 
-  /** Ends the relay. */
+  /** Closes the relay and all its connections. */
   async close(): Promise<void> {
     for (const socket of this.sockets) socket.destroy();
     await new Promise((resolve) => this.server.close(resolve));
   }
 
-  private join(from: Socket, to: Socket): void {
+  private forward(from: Socket, to: Socket): void {
     this.sockets.add(from);
     from.on('data', (bytes: Buffer) => {
-      if (!this.isCut && !this.silent.has(from)) to.write(bytes);
+      if (!this.isPartitioned && !this.stalled.has(from)) to.write(bytes);
     });
     from.on('error', () => undefined);
     from.on('close', () => {
       this.sockets.delete(from);
-      if (!this.isCut && !this.silent.has(from)) to.destroy();
+      if (!this.isPartitioned && !this.stalled.has(from)) to.destroy();
     });
   }
 }
--- a/packages/test-utils/src/process-fleet.ts
+++ b/packages/test-utils/src/process-fleet.ts
@@ -1,5 +1,5 @@
 /**
- * A fleet of real processes on loopback, for failure tests and benchmarks.
+ * A fleet of separate processes on loopback, for failure tests and benchmarks.
  */
 import { spawn } from 'node:child_process';
 import type { ChildProcess } from 'node:child_process';
@@ -9,7 +9,7 @@
 import { join } from 'node:path';
 import { freePorts } from './free-ports.js';
 
-/** Tokens of every fleet made here. */
+/** Tokens that every test fleet accepts. */
 export const FLEET_TOKENS = {
   caller: 'caller-token',
   operator: 'operator-token',
@@ -18,54 +18,61 @@
 /** Workspace of the caller token. */
 export const FLEET_WORKSPACE = 'demo';
 const HOST = '127.0.0.1';
-const SECRET = 'fleet-secret-of-the-tests';
+const INSTANCE_SECRET = 'fleet-secret-of-the-tests';
 const READY_TIMEOUT_MS = 20_000;
 
 /** Options of {@link ProcessFleet.create}. */
 export interface ProcessFleetOptions {
-  /** The command's main file. */
+  /** Path of the main file of the `shedline` command. */
   readonly bin: string;
   readonly controls: number;
   readonly entries: number;
-  /** Control instances that form the cluster; the rest are spares. Default: all. */
+  /** Number of control instances that form the cluster; the others are spares. Default: all. */
   readonly bootstrap?: number;
   readonly zones?: readonly string[];
+  /** Additional control settings of every control instance. */
   readonly control?: Readonly<Record<string, unknown>>;
+  /** Additional entry settings of every entry. */
   readonly entry?: Readonly<Record<string, unknown>>;
   readonly logLevel?: string;
-  /** Arguments for the runtime of the instances, such as those of its profiler. */
+  /** Node.js arguments of the instances, such as profiler options. */
   readonly nodeArguments?: readonly string[];
 }
 
-interface Place {
+/** Name, ports and availability zone of an instance. */
+interface InstancePlace {
   readonly name: string;
   readonly port: number;
   readonly peerPort: number;
   readonly availabilityZone: string;
 }
 
-/** Control instances and entries as processes of their own. */
+/** Runs each control instance and entry as a separate process. */
 export class ProcessFleet {
-  readonly controls: readonly Place[];
-  readonly entries: readonly Place[];
+  readonly controls: readonly InstancePlace[];
+  readonly entries: readonly InstancePlace[];
   private readonly options: ProcessFleetOptions;
   private readonly folder: string;
   private readonly processes = new Map<string, ChildProcess>();
 
-  private constructor(options: ProcessFleetOptions, folder: string, places: readonly Place[]) {
+  private constructor(
+    options: ProcessFleetOptions,
+    folder: string,
+    places: readonly InstancePlace[],
+  ) {
     this.options = options;
     this.folder = folder;
     this.controls = places.slice(0, options.controls);
     this.entries = places.slice(options.controls);
   }
 
-  /** Finds ports and a folder; starts nothing yet. */
+  /** Reserves ports and a directory; starts no process. */
   static async create(options: ProcessFleetOptions): Promise<ProcessFleet> {
     const folder = await mkdtemp(join(tmpdir(), 'shedline-fleet-'));
     const zones = options.zones ?? ['zone-1'];
     const count = options.controls + options.entries;
     const ports = await freePorts(2 * count);
-    const places = Array.from({ length: count }, (_, index): Place => {
+    const places = Array.from({ length: count }, (_, index): InstancePlace => {
       const isControl = index < options.controls;
       const number = isControl ? index + 1 : index - options.controls + 1;
       return {
@@ -78,22 +85,22 @@
     return new ProcessFleet(options, folder, places);
   }
 
-  /** Addresses of the entries. */
+  /** URLs of the entries. */
   get entryUrls(): string[] {
     return this.entries.map(({ port }) => `http://${HOST}:${port}`);
   }
 
-  /** Control instances, as the settings of entries name them. */
+  /** Addresses of the control instances, in the form that the settings need. */
   get controlPeers(): { name: string; host: string; port: number }[] {
     return this.controls.map(({ name, port }) => ({ name, host: HOST, port }));
   }
 
-  /** The secret between instances. */
+  /** The secret shared by all instances. */
   get secret(): string {
-    return SECRET;
+    return INSTANCE_SECRET;
   }
 
-  /** Process id of an instance. */
+  /** Returns the process id of an instance, or 0 if it is not running. */
   pid(name: string): number {
     return this.processes.get(name)?.pid ?? 0;
   }
@@ -104,7 +111,7 @@
     await Promise.all(this.entries.map(({ name }) => this.start(name)));
   }
 
-  /** Starts an instance; returns once it says that it is ready. */
+  /** Starts an instance; returns once it reports that it is ready. */
   async start(name: string): Promise<void> {
     const file = await this.writeSettings(name);
     const role = name.startsWith('control') ? 'control' : 'entry';
@@ -118,7 +125,7 @@
     this.processes.set(name, child);
     await new Promise<void>((resolve, reject) => {
       const timer = setTimeout(() => {
-        reject(new Error(`${name} was not ready in time`));
+        reject(new Error(`${name} was not ready before the timeout`));
       }, READY_TIMEOUT_MS);
       child.stdout.on('data', (bytes: Buffer) => {
         if (!bytes.toString().includes('ready')) return;
@@ -127,40 +134,40 @@
       });
       child.once('exit', (code) => {
         clearTimeout(timer);
-        reject(new Error(`${name} ended with ${code}`));
+        reject(new Error(`${name} exited with code ${code}`));
       });
     });
   }
 
-  /** Kills an instance on the spot. */
+  /** Kills an instance with SIGKILL; returns once it has exited. */
   kill(name: string): Promise<void> {
     return this.signal(name, 'SIGKILL');
   }
 
-  /** Stops an instance as planned; returns once it has ended. */
+  /** Stops an instance with SIGTERM; returns once it has exited. */
   stop(name: string): Promise<void> {
     return this.signal(name, 'SIGTERM');
   }
 
-  /** Freezes an instance, or lets it go on. */
-  freeze(name: string, frozen: boolean): void {
-    this.processes.get(name)?.kill(frozen ? 'SIGSTOP' : 'SIGCONT');
+  /** Suspends an instance with SIGSTOP, or resumes it. */
+  setFrozen(name: string, isFrozen: boolean): void {
+    this.processes.get(name)?.kill(isFrozen ? 'SIGSTOP' : 'SIGCONT');
   }
 
-  /** Removes the data folder of an instance. */
-  async wipe(name: string): Promise<void> {
+  /** Removes the data directory of an instance. */
+  async removeDataDir(name: string): Promise<void> {
     await rm(this.dataDir(name), { recursive: true, force: true });
   }
 
-  /** Data folder of an instance. */
+  /** Returns the data directory of an instance. */
   dataDir(name: string): string {
     return join(this.folder, name);
   }
 
-  /** Kills what runs and removes the folder. */
+  /** Kills all running instances and removes the directory of the fleet. */
   async close(): Promise<void> {
     for (const name of [...this.processes.keys()]) {
-      this.freeze(name, false);
+      this.setFrozen(name, false);
       await this.kill(name);
     }
     await rm(this.folder, { recursive: true, force: true });
@@ -184,7 +191,7 @@
       name,
       availabilityZone: place.availabilityZone,
       logLevel: this.options.logLevel ?? 'error',
-      instanceSecret: SECRET,
+      instanceSecret: INSTANCE_SECRET,
       tokens: tokens(),
       ...(isControl
         ? { control: this.controlSettings(place) }
@@ -196,7 +203,7 @@
     return file;
   }
 
-  private controlSettings(place: Place): Record<string, unknown> {
+  private controlSettings(place: InstancePlace): Record<string, unknown> {
     const names = this.controls.map(({ name }) => name);
     return {
       listenHost: HOST,
@@ -208,7 +215,7 @@
     };
   }
 
-  private entrySettings(place: Place): Record<string, unknown> {
+  private entrySettings(place: InstancePlace): Record<string, unknown> {
     return {
       listenHost: HOST,
       listenPort: place.port,
--- a/packages/test-utils/src/random.ts
+++ b/packages/test-utils/src/random.ts
@@ -1,11 +1,11 @@
 /**
- * Seeded random numbers, so that a failing schedule can be run again.
+ * Seeded random numbers, so that a failing schedule can be reproduced.
  */
 
-/** Gives numbers in [0, 1). */
+/** Returns a number in [0, 1). */
 export type RandomSource = () => number;
 
-/** The mulberry32 generator: small, fast and the same on every machine. */
+/** Creates a mulberry32 generator: small, fast and with the same sequence on every machine. */
 export function seededRandom(seed: number): RandomSource {
   let state = seed >>> 0;
   return () => {
@@ -17,9 +17,9 @@
   };
 }
 
-/** One of `items`. */
+/** Returns a random element of `items`; throws if it is empty. */
 export function pick<T>(random: RandomSource, items: readonly T[]): T {
   const item = items[Math.floor(random() * items.length)];
-  if (item === undefined) throw new Error('pick: nothing to pick from');
+  if (item === undefined) throw new Error('pick: the list is empty');
   return item;
 }
