--- a/bench/src/batch.ts
+++ b/bench/src/batch.ts
@@ -1,7 +1,9 @@
 /**
- * Batch beside online work, on real processes: the harm to the online tail and the idle
- * capacity harvested, for several positions of the dial, against batch off and against batch
- * sent as it comes. Then the time from an online burst until batch has yielded, and the store.
+ * Benchmarks of batch requests beside online requests, on separate processes. `mix` measures the
+ * increase of online tail latency and the share of idle capacity that batch uses, for several
+ * values of the batch dial, compared with no batch and with unscheduled batch. `yield` measures
+ * the time from an online request until batch has yielded, `onTime` whether jobs end by their due
+ * times, `items` the item rate, and `memory` the memory of stored items.
  * `node bench/dist/batch.js [mix|onTime|yield|items|memory]`.
  */
 import { writeFile } from 'node:fs/promises';
@@ -10,7 +12,7 @@
 import { seededRandom } from '@shedline/test-utils';
 import { cpuSeconds, startBenchFleet } from './support/bench-fleet.js';
 import type { BenchFleet } from './support/bench-fleet.js';
-import { KeptAddresses, runLoad, summarize } from './support/load.js';
+import { CachedAddresses, runLoad, summarize } from './support/load.js';
 import type { LoadShape } from './support/load.js';
 import { median, pause, percentile, report } from './support/report.js';
 import type { ResultRow } from './support/report.js';
@@ -31,7 +33,8 @@
   openSessions: 30,
 };
 
-type Way = 'batch off' | 'batch alone' | 'as it comes' | number;
+/** How batch requests are sent; a number is a value of the batch dial. */
+type BatchMode = 'batch off' | 'batch alone' | 'as it comes' | number;
 
 async function startFleet(dial: number): Promise<BenchFleet> {
   return startBenchFleet({
@@ -50,13 +53,13 @@
   }));
 }
 
-/** Keeps every engine as full as it goes, whatever else runs there. */
-function sendAsItComes(bench: BenchFleet): () => void {
-  const state = { stopped: false };
+/** Keeps 90 % of the slots of every engine busy with batch requests, ignoring online requests. */
+function sendUnscheduled(bench: BenchFleet): () => void {
+  const state = { isStopped: false };
   for (const url of bench.hosts.urls) {
     for (let slot = 0; slot < CAPACITY * 0.9; slot += 1) {
       void (async () => {
-        for (let n = 0; !state.stopped; n += 1) {
+        for (let n = 0; !state.isStopped; n += 1) {
           await streamOnce(
             url,
             { messages: [{ role: 'user', content: `caption ${slot} ${n}` }] },
@@ -67,14 +70,16 @@
     }
   }
   return () => {
-    state.stopped = true;
+    state.isStopped = true;
   };
 }
 
-async function runWay(way: Way): Promise<{ row: ResultRow; generated: number; online: number }> {
-  const bench = await startFleet(typeof way === 'number' ? way : 0.5);
-  const target = new KeptAddresses(bench.fleet.entryUrls, seededRandom(2));
-  const isShedline = typeof way === 'number' || way === 'batch alone';
+async function runMode(
+  mode: BatchMode,
+): Promise<{ row: ResultRow; generated: number; online: number }> {
+  const bench = await startFleet(typeof mode === 'number' ? mode : 0.5);
+  const target = new CachedAddresses(bench.fleet.entryUrls, seededRandom(2));
+  const isShedline = typeof mode === 'number' || mode === 'batch alone';
   if (isShedline) {
     await bench.caller.submitJob({
       service: 'chat',
@@ -85,50 +90,50 @@
     });
     await pause(2500);
   }
-  const stopNaive = way === 'as it comes' ? sendAsItComes(bench) : undefined;
-  if (stopNaive !== undefined) await pause(2000);
+  const stopUnscheduled = mode === 'as it comes' ? sendUnscheduled(bench) : undefined;
+  if (stopUnscheduled !== undefined) await pause(2000);
   const before = await bench.hosts.stats();
-  const results = way === 'batch alone' ? [] : await runLoad(target, SHAPE);
-  if (way === 'batch alone') await pause(SHAPE.durationMs);
+  const results = mode === 'batch alone' ? [] : await runLoad(target, SHAPE);
+  if (mode === 'batch alone') await pause(SHAPE.durationMs);
   const after = await bench.hosts.stats();
-  stopNaive?.();
+  stopUnscheduled?.();
   await target.close();
   await bench.close();
   const online = results.reduce((sum, result) => sum + result.tokens, 0);
   const generated = after.generatedTokens - before.generatedTokens;
   const row = {
-    batch: typeof way === 'number' ? `dial ${way}` : way,
+    batch: typeof mode === 'number' ? `dial ${mode}` : mode,
     ...(results.length > 0 ? summarize(results) : {}),
   };
   return { row, generated, online };
 }
 
-async function mix(): Promise<ResultRow[]> {
+async function batchModes(): Promise<ResultRow[]> {
   const rows: ResultRow[] = [];
-  const off = await runWay('batch off');
-  const alone = await runWay('batch alone');
-  const offP99 = Number(off.row['first p99 ms']);
-  rows.push({ ...off.row, 'p99 over off': 1, 'batch tokens/s': 0 });
+  const batchOff = await runMode('batch off');
+  const batchOnly = await runMode('batch alone');
+  const batchOffP99Ms = Number(batchOff.row['first p99 ms']);
+  rows.push({ ...batchOff.row, 'p99 over off': 1, 'batch tokens/s': 0 });
   rows.push({
-    ...alone.row,
-    'batch tokens/s': alone.generated / (SHAPE.durationMs / 1000),
+    ...batchOnly.row,
+    'batch tokens/s': batchOnly.generated / (SHAPE.durationMs / 1000),
     'harvest %': 100,
   });
-  for (const way of ['as it comes', 0, 0.2, 0.5, 0.8, 1] as const) {
-    const one = await runWay(way);
-    const batchTokens = one.generated - one.online;
+  for (const mode of ['as it comes', 0, 0.2, 0.5, 0.8, 1] as const) {
+    const measured = await runMode(mode);
+    const batchTokens = measured.generated - measured.online;
     rows.push({
-      ...one.row,
-      'p99 over off': Number(one.row['first p99 ms']) / offP99,
+      ...measured.row,
+      'p99 over off': Number(measured.row['first p99 ms']) / batchOffP99Ms,
       'batch tokens/s': batchTokens / (SHAPE.durationMs / 1000),
-      'harvest %': (100 * batchTokens) / (alone.generated - one.online),
+      'harvest %': (100 * batchTokens) / (batchOnly.generated - measured.online),
     });
   }
   await writePlot(rows);
   return rows;
 }
 
-/** The curve of the dial as a self-contained picture. */
+/** Writes an SVG plot of online latency over harvested capacity for all dial values. */
 async function writePlot(rows: readonly ResultRow[]): Promise<void> {
   const points = rows.filter(
     (row) => String(row.batch).startsWith('dial') || row.batch === 'as it comes',
@@ -149,7 +154,7 @@
   await writeFile('docs/design/batch-dial.svg', `${svg}\n`);
 }
 
-/** Time from an online request until the batch streams beside it have stopped. */
+/** Measures the time from an online request until the batch streams beside it have stopped. */
 async function yieldTimes(): Promise<ResultRow[]> {
   const bench = await startFleet(0);
   await bench.caller.submitJob({
@@ -166,14 +171,14 @@
     const before = (await bench.hosts.stats()).running;
     const startedMs = performance.now();
     const body = { model: 'demo/chat', messages: [{ role: 'user', content: `note ${round}` }] };
-    const answer = streamOnce(url, body, startedMs);
+    const response = streamOnce(url, body, startedMs);
     while (
       (await bench.hosts.stats()).running > before - CAPACITY / 2 &&
       performance.now() - startedMs < 1000
     )
       await pause(1);
     if (before > ENGINES * CAPACITY * 0.7) times.push(performance.now() - startedMs);
-    await answer;
+    await response;
     await pause(700);
   }
   await bench.close();
@@ -187,8 +192,8 @@
   ];
 }
 
-/** Jobs of both users beside online work: the large one is submitted first, the urgent one last. */
-async function onTime(): Promise<ResultRow[]> {
+/** Runs jobs beside online load; the largest job is submitted first, the most urgent one last. */
+async function dueTimes(): Promise<ResultRow[]> {
   const rows: ResultRow[] = [];
   const plans = [
     {
@@ -212,10 +217,10 @@
   ];
   for (const { user, dial, jobs } of plans) {
     const bench = await startFleet(dial);
-    const target = new KeptAddresses(bench.fleet.entryUrls, seededRandom(2));
+    const target = new CachedAddresses(bench.fleet.entryUrls, seededRandom(2));
     const load = runLoad(target, { ...SHAPE, durationMs: 60_000 });
     const startedMs = Date.now();
-    const open = await Promise.all(
+    const submitted = await Promise.all(
       jobs.map(async ({ items: count, dueInMs }, position) => {
         await pause(position * 200);
         const dueAtMs = startedMs + dueInMs;
@@ -228,25 +233,25 @@
         return { jobId: job.jobId, count, dueInMs };
       }),
     );
-    const ends = await Promise.all(
-      open.map(async ({ jobId, count, dueInMs }) => {
-        let early = false;
+    const endings = await Promise.all(
+      submitted.map(async ({ jobId, count, dueInMs }) => {
+        let wasPredictedLate = false;
         while ((await bench.caller.job(jobId)).counts.pending > 0) {
-          early ||= (await bench.caller.job(jobId)).predictedLate;
+          wasPredictedLate ||= (await bench.caller.job(jobId)).predictedLate;
           await pause(200);
         }
-        return { count, dueInMs, endedMs: Date.now() - startedMs, early };
+        return { count, dueInMs, endedMs: Date.now() - startedMs, wasPredictedLate };
       }),
     );
     const online = summarize(await load);
-    for (const { count, dueInMs, endedMs, early } of ends) {
+    for (const { count, dueInMs, endedMs, wasPredictedLate } of endings) {
       rows.push({
         user,
         items: count,
         'due after s': dueInMs / 1000,
         'ended after s': endedMs / 1000,
         'on time': endedMs <= dueInMs ? 'yes' : 'no',
-        'called late': early ? 'yes' : 'no',
+        'called late': wasPredictedLate ? 'yes' : 'no',
         'online first p99 ms': Number(online['first p99 ms']),
       });
     }
@@ -256,7 +261,7 @@
   return rows;
 }
 
-/** Items a second from upload to result through one control instance and fast engines. */
+/** Measures items per second from upload to result, with one control instance and fast engines. */
 async function itemRate(): Promise<ResultRow[]> {
   const rows: ResultRow[] = [];
   for (const count of [2000, 10_000, 40_000]) {
@@ -297,8 +302,8 @@
   return rows;
 }
 
-/** Memory of open items, and bytes written for each. */
-async function memory(): Promise<ResultRow[]> {
+/** Measures the memory and the snapshot size of each open item. */
+async function itemMemory(): Promise<ResultRow[]> {
   const rows: ResultRow[] = [];
   for (const count of [10_000, 100_000, 520_000]) {
     const jobs = new Jobs(new MemoryItemFiles());
@@ -340,11 +345,11 @@
 }
 
 const parts: Record<string, () => Promise<ResultRow[]>> = {
-  memory,
+  memory: itemMemory,
   yield: yieldTimes,
   items: itemRate,
-  onTime,
-  mix,
+  onTime: dueTimes,
+  mix: batchModes,
 };
 const wanted = process.argv.slice(2);
 for (const [name, part] of Object.entries(parts)) {
--- a/bench/src/control.ts
+++ b/bench/src/control.ts
@@ -1,6 +1,7 @@
 /**
- * Speed of the control instances: commits with group commit against one sync for each entry,
- * time without a leader, catching up, and the cost of idle groups.
+ * Benchmarks of the control instances: commit rate, group commit compared with one sync for each
+ * log entry, failover time, catch-up time of a follower, and the cost of idle groups.
+ * `node bench/dist/control.js [commits|syncs|leaderless|catchUp|idleGroups]`.
  */
 import { mkdtemp, rm } from 'node:fs/promises';
 import { tmpdir } from 'node:os';
@@ -14,7 +15,7 @@
 import type { ResultRow } from './support/report.js';
 
 const BIN = fileURLToPath(new URL('../../packages/cli/dist/bin.js', import.meta.url));
-const RUN_MS = 3000;
+const MEASUREMENT_MS = 3000;
 
 function clientOf(fleet: ProcessFleet): ControlClient {
   const ports = fleet.controlPeers.map(
@@ -25,7 +26,7 @@
 
 async function withControls(
   settings: Readonly<Record<string, unknown>>,
-  work: (fleet: ProcessFleet, client: ControlClient) => Promise<void>,
+  measure: (fleet: ProcessFleet, client: ControlClient) => Promise<void>,
 ): Promise<void> {
   const fleet = await ProcessFleet.create({
     bin: BIN,
@@ -37,7 +38,7 @@
   const client = clientOf(fleet);
   try {
     await client.table(-1);
-    await work(fleet, client);
+    await measure(fleet, client);
   } finally {
     client.close();
     await fleet.close();
@@ -63,26 +64,26 @@
   return groups.find(({ role }) => role === 'leader')?.leader ?? '';
 }
 
-/** Commits a second through three instances, and syncs that they took. */
-async function commits(): Promise<ResultRow[]> {
+/** Measures commits per second through three instances, and commits per sync. */
+async function measureCommits(): Promise<ResultRow[]> {
   const rows: ResultRow[] = [];
   await withControls({ jobGroupCount: 1 }, async (_fleet, client) => {
     for (const writers of [1, 32, 256]) {
       const latencies: number[] = [];
       const syncsBefore = (await client.statuses())[0]?.syncs ?? 0;
-      const untilMs = performance.now() + RUN_MS;
-      const runs = Array.from({ length: writers }, async (_, writer) => {
-        for (let n = 0; performance.now() < untilMs; n += 1) {
+      const endMs = performance.now() + MEASUREMENT_MS;
+      const writes = Array.from({ length: writers }, async (_, writer) => {
+        for (let n = 0; performance.now() < endMs; n += 1) {
           const startedMs = performance.now();
           await edit(client, `e-${writers}-${writer}-${n}`);
           latencies.push(performance.now() - startedMs);
         }
       });
-      await Promise.all(runs);
+      await Promise.all(writes);
       const syncs = ((await client.statuses())[0]?.syncs ?? 0) - syncsBefore;
       rows.push({
         writers,
-        'commits/s': Math.round(latencies.length / (RUN_MS / 1000)),
+        'commits/s': Math.round(latencies.length / (MEASUREMENT_MS / 1000)),
         'ack p50 ms': median(latencies),
         'ack p99 ms': percentile(latencies, 99),
         'commits per sync': latencies.length / Math.max(1, syncs),
@@ -92,32 +93,32 @@
   return rows;
 }
 
-/** The same number of appends to one disk, gathered or each with a sync of its own. */
-async function syncs(): Promise<ResultRow[]> {
+/** Measures appends per second to one disk, with group commit and with one sync for each append. */
+async function measureGroupCommit(): Promise<ResultRow[]> {
   const rows: ResultRow[] = [];
   for (const writers of [1, 32, 256]) {
     const rates: Record<string, number> = {};
-    for (const way of ['gathered', 'each']) {
+    for (const mode of ['gathered', 'each']) {
       const folder = await mkdtemp(join(tmpdir(), 'shedline-sync-'));
       const storage = await Storage.open({ files: new NodeFileSystem(folder) });
       let index = 0;
-      let done = 0;
-      let chain: Promise<void> = Promise.resolve();
+      let appendCount = 0;
+      let lastAppend: Promise<void> = Promise.resolve();
       const append = (): Promise<void> => {
         index += 1;
         const entry = { index, term: 1, kind: 'command', data: new Uint8Array(200) } as const;
         return storage.append({ group: 0, entries: [entry] });
       };
-      const untilMs = performance.now() + RUN_MS / 2;
-      const one = async (): Promise<void> => {
-        while (performance.now() < untilMs) {
-          if (way === 'gathered') await append();
-          else await (chain = chain.then(append));
-          done += 1;
+      const endMs = performance.now() + MEASUREMENT_MS / 2;
+      const runWriter = async (): Promise<void> => {
+        while (performance.now() < endMs) {
+          if (mode === 'gathered') await append();
+          else await (lastAppend = lastAppend.then(append));
+          appendCount += 1;
         }
       };
-      await Promise.all(Array.from({ length: writers }, one));
-      rates[way] = done / (RUN_MS / 2000);
+      await Promise.all(Array.from({ length: writers }, runWriter));
+      rates[mode] = appendCount / (MEASUREMENT_MS / 2000);
       await storage.close();
       await rm(folder, { recursive: true });
     }
@@ -132,44 +133,44 @@
   return rows;
 }
 
-/** How long no edit is accepted after the leader is killed, and after it stops as planned. */
-async function leaderless(): Promise<ResultRow[]> {
+/** Measures how long no edit ends after the leader is killed, and after its graceful stop. */
+async function measureFailover(): Promise<ResultRow[]> {
   const gaps: Record<string, number[]> = { kill: [], stop: [] };
   await withControls({ jobGroupCount: 1 }, async (fleet, client) => {
     for (let round = 0; round < 6; round += 1) {
-      const way = round % 2 === 0 ? 'kill' : 'stop';
+      const stopKind = round % 2 === 0 ? 'kill' : 'stop';
       const leader = await leaderOf(client);
-      let lastMs = performance.now();
-      let longestMs = 0;
-      const state = { stopped: false };
+      let lastEditEndMs = performance.now();
+      let longestGapMs = 0;
+      const state = { isStopped: false };
       const writer = (async () => {
-        for (let n = 0; !state.stopped; n += 1) {
+        for (let n = 0; !state.isStopped; n += 1) {
           await edit(client, `${round}-${n}`).catch(() => undefined);
           const nowMs = performance.now();
-          longestMs = Math.max(longestMs, nowMs - lastMs);
-          lastMs = nowMs;
+          longestGapMs = Math.max(longestGapMs, nowMs - lastEditEndMs);
+          lastEditEndMs = nowMs;
         }
       })();
       await pause(300);
-      await (way === 'kill' ? fleet.kill(leader) : fleet.stop(leader));
+      await (stopKind === 'kill' ? fleet.kill(leader) : fleet.stop(leader));
       await pause(3500);
-      state.stopped = true;
+      state.isStopped = true;
       await writer;
-      gaps[way]?.push(longestMs);
+      gaps[stopKind]?.push(longestGapMs);
       await fleet.start(leader);
       await pause(500);
     }
   });
-  return Object.entries(gaps).map(([way, values]) => ({
-    way,
+  return Object.entries(gaps).map(([stopKind, values]) => ({
+    way: stopKind,
     'median ms': median(values),
     'worst ms': Math.max(...values),
     rounds: values.length,
   }));
 }
 
-/** Time and bytes until a follower that was down has caught up. */
-async function catchUp(): Promise<ResultRow[]> {
+/** Measures the time until a restarted follower has caught up, and its memory. */
+async function measureCatchUp(): Promise<ResultRow[]> {
   const rows: ResultRow[] = [];
   for (const behind of [500, 50_000]) {
     await withControls(
@@ -207,8 +208,8 @@
   return status?.groups.find(({ group }) => group === 0)?.appliedIndex ?? 0;
 }
 
-/** Processor time and memory of an instance whose groups do nothing. */
-async function idleGroups(): Promise<ResultRow[]> {
+/** Measures CPU usage and memory of an instance whose groups are idle. */
+async function measureIdleGroups(): Promise<ResultRow[]> {
   const rows: ResultRow[] = [];
   for (const groups of [1, 8, 64]) {
     await withControls({ jobGroupCount: groups }, async (fleet) => {
@@ -217,19 +218,23 @@
       const before = await Promise.all(pids.map(cpuSeconds));
       await pause(5000);
       const after = await Promise.all(pids.map(cpuSeconds));
-      const shares = after.map((seconds, index) => ((seconds - (before[index] ?? 0)) / 5) * 100);
-      rows.push({ groups, 'cpu % of a core': median(shares), MiB: await memoryMiB(pids[0] ?? 0) });
+      const cpuShares = after.map((seconds, index) => ((seconds - (before[index] ?? 0)) / 5) * 100);
+      rows.push({
+        groups,
+        'cpu % of a core': median(cpuShares),
+        MiB: await memoryMiB(pids[0] ?? 0),
+      });
     });
   }
   return rows;
 }
 
 const parts: Record<string, () => Promise<ResultRow[]>> = {
-  commits,
-  syncs,
-  leaderless,
-  catchUp,
-  idleGroups,
+  commits: measureCommits,
+  syncs: measureGroupCommit,
+  leaderless: measureFailover,
+  catchUp: measureCatchUp,
+  idleGroups: measureIdleGroups,
 };
 const wanted = process.argv.slice(2);
 for (const [name, part] of Object.entries(parts)) {
--- a/bench/src/routing.ts
+++ b/bench/src/routing.ts
@@ -1,6 +1,6 @@
 /**
- * Routing strategies side by side on stand-in engines: sessions with shared prompts, several
- * entries that each decide alone, load reports that lag, cache events late and with gaps.
+ * Compares routing strategies on stand-in engines: sessions share system prompts, several entries
+ * route independently, load reports lag, and cache events arrive late and incompletely.
  */
 import { CostRouting, LoadView, PrefixIndex, sessionHome } from '@shedline/routing';
 import type { Candidate, RouteRequest, RoutingStrategy } from '@shedline/routing';
@@ -16,10 +16,10 @@
 const REQUESTS_PER_SECOND = 110;
 const CAPACITY = 16;
 const REPORT_INTERVAL_MS = 1000;
-const COUNTS_INTERVAL_MS = 250;
+const PEER_COUNTS_INTERVAL_MS = 250;
 const SYSTEM_PROMPTS = 12;
 const OPEN_SESSIONS = 150;
-const EVENT_LOSS = 0.1;
+const CACHE_EVENT_LOSS_SHARE = 0.1;
 const TIMES = {
   stepMs: 20,
   perSequenceMs: 1.5,
@@ -27,14 +27,14 @@
   prefillTokensPerStep: 1024,
 };
 
-interface Engine {
+interface SimulatedEngine {
   readonly id: string;
   readonly engine: BatchingEngine;
   reported: number;
-  heldEvents: string[];
+  pendingCacheEvents: string[];
 }
 
-interface Entry {
+interface SimulatedEntry {
   readonly loads: LoadView;
   readonly prefixes: PrefixIndex;
   readonly sessions: Map<string, string>;
@@ -56,8 +56,8 @@
   }
 }
 
-/** Least load by what the engines reported alone. */
-class ReportedLeast implements RoutingStrategy {
+/** Chooses the engine with the least reported load, ignoring the requests of this entry. */
+class LeastReportedLoad implements RoutingStrategy {
   constructor(private readonly reported: (id: string) => number) {}
 
   choose({ candidates }: RouteRequest): Candidate | undefined {
@@ -66,6 +66,7 @@
   }
 }
 
+/** Chooses the less loaded one of two random engines. */
 class TwoChoices implements RoutingStrategy {
   constructor(private readonly random: () => number) {}
 
@@ -76,21 +77,22 @@
   }
 }
 
-/** Always the engine that the session hashes to. */
-class PlainHash implements RoutingStrategy {
+/** Always chooses the engine that the session hashes to. */
+class SessionHash implements RoutingStrategy {
   choose({ candidates, sessionEndpointId }: RouteRequest): Candidate | undefined {
     return candidates.find(({ endpointId }) => endpointId === sessionEndpointId) ?? candidates[0];
   }
 }
 
-function paragraph(name: string, blocks: number): string {
+/** Creates a text of `blocks` prefix blocks that is determined by `name`. */
+function promptOfBlocks(name: string, blocks: number): string {
   let text = '';
   for (let n = 0; text.length < blocks * 256; n += 1)
     text += `${name} ${Math.floor(unitHash(`${name}${n}`) * 1e6)} `;
   return text.slice(0, blocks * 256);
 }
 
-/** Prompt tokens that one cache without limit would have held. */
+/** Counts the prefix blocks that a single cache without a size limit would hit. */
 class UnlimitedCache {
   private readonly seen = new Set<string>();
   hits = 0;
@@ -103,36 +105,38 @@
   }
 }
 
-async function run(
+async function runStrategy(
   name: string,
-  create: (random: () => number, reported: (id: string) => number) => RoutingStrategy,
+  createStrategy: (random: () => number, reported: (id: string) => number) => RoutingStrategy,
 ): Promise<ResultRow> {
   const random = seededRandom(4);
-  const engines = Array.from({ length: ENGINES }, (_, index): Engine => ({
+  const engines = Array.from({ length: ENGINES }, (_, index): SimulatedEngine => ({
     id: `engine-${index}`,
     engine: new BatchingEngine({ times: TIMES, cacheBlocks: 600 }),
     reported: 0,
-    heldEvents: [],
+    pendingCacheEvents: [],
   }));
   const reported = (id: string): number =>
     engines.find((engine) => engine.id === id)?.reported ?? 0;
-  const entries = Array.from({ length: ENTRIES }, (): Entry => ({
+  const entries = Array.from({ length: ENTRIES }, (): SimulatedEntry => ({
     loads: new LoadView(),
     prefixes: new PrefixIndex(),
     sessions: new Map(),
-    strategy: create(random, reported),
+    strategy: createStrategy(random, reported),
   }));
-  const reports = setInterval(() => {
-    reportAll(engines, entries, random);
+  const reportTimer = setInterval(() => {
+    reportLoads(engines, entries, random);
   }, REPORT_INTERVAL_MS);
-  const counts = setInterval(() => {
-    shareCounts(entries);
-  }, COUNTS_INTERVAL_MS);
-  const systems = Array.from({ length: SYSTEM_PROMPTS }, (_, n) => paragraph(`system-${n}`, 6));
+  const countsTimer = setInterval(() => {
+    sharePeerCounts(entries);
+  }, PEER_COUNTS_INTERVAL_MS);
+  const systemPrompts = Array.from({ length: SYSTEM_PROMPTS }, (_, n) =>
+    promptOfBlocks(`system-${n}`, 6),
+  );
   const sessions: Session[] = [];
-  const firsts: number[] = [];
-  const spread: number[] = [];
-  const ideal = new UnlimitedCache();
+  const firstTokenTimesMs: number[] = [];
+  const loadSpreads: number[] = [];
+  const unlimitedCache = new UnlimitedCache();
   const startedMs = performance.now();
   let count = 0;
   for (
@@ -141,45 +145,48 @@
     dueMs += -Math.log(1 - random()) * (1000 / REQUESTS_PER_SECOND)
   ) {
     await pause(dueMs - performance.now());
-    const session = nextSession(sessions, systems, random, count);
+    const session = nextSession(sessions, systemPrompts, random, count);
     const entry = entries[Math.floor(random() * ENTRIES)];
-    if (entry !== undefined) send(entry, engines, session, ideal, dueMs, firsts, count);
+    if (entry !== undefined)
+      send(entry, engines, session, unlimitedCache, dueMs, firstTokenTimesMs, count);
     count += 1;
-    if (count % 50 === 0) spread.push(spreadOf(engines));
+    if (count % 50 === 0) loadSpreads.push(loadSpread(engines));
   }
   await pause(2500);
-  clearInterval(reports);
-  clearInterval(counts);
+  clearInterval(reportTimer);
+  clearInterval(countsTimer);
   const cached = engines.reduce((sum, { engine }) => sum + engine.tokenTotals.cachedTokens, 0);
   for (const { engine } of engines) engine.stop();
   return {
     strategy: name,
     requests: count,
-    'hits of one unlimited cache %': (100 * cached) / (ideal.hits * 64),
-    'first p50 ms': percentile(firsts, 50),
-    'first p95 ms': percentile(firsts, 95),
-    'first p99 ms': percentile(firsts, 99),
-    'load spread (max/mean)': percentile(spread, 50),
+    'hits of one unlimited cache %': (100 * cached) / (unlimitedCache.hits * 64),
+    'first p50 ms': percentile(firstTokenTimesMs, 50),
+    'first p95 ms': percentile(firstTokenTimesMs, 95),
+    'first p99 ms': percentile(firstTokenTimesMs, 99),
+    'load spread (max/mean)': percentile(loadSpreads, 50),
   };
 }
 
-function reportAll(
-  engines: readonly Engine[],
-  entries: readonly Entry[],
+function reportLoads(
+  engines: readonly SimulatedEngine[],
+  entries: readonly SimulatedEntry[],
   random: () => number,
 ): void {
   const nowMs = performance.now();
-  for (const one of engines) {
+  for (const simulated of engines) {
     for (const { loads, prefixes } of entries) {
-      loads.report(one.id, one.reported, CAPACITY, REPORT_INTERVAL_MS, nowMs);
-      prefixes.note(one.id, one.heldEvents);
+      loads.report(simulated.id, simulated.reported, CAPACITY, REPORT_INTERVAL_MS, nowMs);
+      prefixes.note(simulated.id, simulated.pendingCacheEvents);
     }
-    one.reported = one.engine.running;
-    one.heldEvents = one.engine.takeNewlyCached().filter(() => random() >= EVENT_LOSS);
+    simulated.reported = simulated.engine.running;
+    simulated.pendingCacheEvents = simulated.engine
+      .takeNewlyCached()
+      .filter(() => random() >= CACHE_EVENT_LOSS_SHARE);
   }
 }
 
-function shareCounts(entries: readonly Entry[]): void {
+function sharePeerCounts(entries: readonly SimulatedEntry[]): void {
   const nowMs = performance.now();
   for (const [index, from] of entries.entries()) {
     for (const { endpointId, online, batch } of from.loads.own()) {
@@ -190,37 +197,42 @@
   }
 }
 
+/** Continues an open session, or opens a new one in place of a session with 8 turns. */
 function nextSession(
   sessions: Session[],
-  systems: readonly string[],
+  systemPrompts: readonly string[],
   random: () => number,
   count: number,
 ): Session {
-  const old = sessions[Math.floor(random() * OPEN_SESSIONS)];
-  if (old !== undefined && old.turns < 8) {
-    old.turns += 1;
-    old.prompt += paragraph(`${old.id} turn ${old.turns}`, 2);
-    return old;
+  const existing = sessions[Math.floor(random() * OPEN_SESSIONS)];
+  if (existing !== undefined && existing.turns < 8) {
+    existing.turns += 1;
+    existing.prompt += promptOfBlocks(`${existing.id} turn ${existing.turns}`, 2);
+    return existing;
   }
-  const system = systems[Math.floor(random() * systems.length)] ?? '';
-  const session = { id: `s${count}`, prompt: system + paragraph(`s${count}`, 1), turns: 0 };
+  const systemPrompt = systemPrompts[Math.floor(random() * systemPrompts.length)] ?? '';
+  const session = {
+    id: `s${count}`,
+    prompt: systemPrompt + promptOfBlocks(`s${count}`, 1),
+    turns: 0,
+  };
   if (sessions.length < OPEN_SESSIONS) sessions.push(session);
-  else sessions[old === undefined ? 0 : sessions.indexOf(old)] = session;
+  else sessions[existing === undefined ? 0 : sessions.indexOf(existing)] = session;
   return session;
 }
 
 function send(
-  entry: Entry,
-  engines: readonly Engine[],
+  entry: SimulatedEntry,
+  engines: readonly SimulatedEngine[],
   session: Session,
-  ideal: UnlimitedCache,
+  unlimitedCache: UnlimitedCache,
   dueMs: number,
-  firsts: number[],
+  firstTokenTimesMs: number[],
   count: number,
 ): void {
   const nowMs = performance.now();
   const hashes = prefixHashes(session.prompt);
-  ideal.use(hashes);
+  unlimitedCache.use(hashes);
   const candidates = engines.map(({ id }): Candidate => ({
     endpointId: id,
     availabilityZone: 'z',
@@ -228,7 +240,7 @@
     capacity: CAPACITY,
     slowStartShare: 1,
   }));
-  const home =
+  const sessionEndpointId =
     entry.sessions.get(session.id) ??
     sessionHome(
       session.id,
@@ -239,7 +251,7 @@
     heldBlocks: entry.prefixes.matches(hashes),
     promptBlocks: hashes.length,
     availabilityZone: 'z',
-    ...(home === undefined ? {} : { sessionEndpointId: home }),
+    ...(sessionEndpointId === undefined ? {} : { sessionEndpointId }),
   });
   const target = engines.find(({ id }) => id === chosen?.endpointId);
   if (target === undefined) return;
@@ -251,7 +263,7 @@
     position: 0,
     onToken: () => {
       if (isFirst) {
-        firsts.push(performance.now() - dueMs);
+        firstTokenTimesMs.push(performance.now() - dueMs);
         entry.prefixes.note(target.id, hashes);
         entry.sessions.set(session.id, target.id);
       }
@@ -264,14 +276,15 @@
   });
 }
 
-function spreadOf(engines: readonly Engine[]): number {
+/** Returns the maximum number of running requests over the mean. */
+function loadSpread(engines: readonly SimulatedEngine[]): number {
   const running = engines.map(({ engine }) => engine.running);
   const mean = running.reduce((a, b) => a + b, 0) / running.length;
   return mean === 0 ? 1 : Math.max(...running) / mean;
 }
 
 const rows = [
-  await run(
+  await runStrategy(
     'cost (chosen)',
     (random) =>
       new CostRouting({
@@ -280,10 +293,10 @@
         loadMs: TIMES.perSequenceMs,
       }),
   ),
-  await run('round robin', () => new RoundRobin()),
-  await run('least by reports', (_, reported) => new ReportedLeast(reported)),
-  await run('two choices', (random) => new TwoChoices(random)),
-  await run('plain hash', () => new PlainHash()),
+  await runStrategy('round robin', () => new RoundRobin()),
+  await runStrategy('least by reports', (_, reported) => new LeastReportedLoad(reported)),
+  await runStrategy('two choices', (random) => new TwoChoices(random)),
+  await runStrategy('plain hash', () => new SessionHash()),
 ];
 await report('routing', rows);
 process.exit(0);
--- a/bench/src/slopes.ts
+++ b/bench/src/slopes.ts
@@ -1,5 +1,5 @@
 /**
- * Slopes for docs/CAPACITY.md: cost of each mechanism at three or more sizes.
+ * Measures how the cost of each mechanism grows with its size, for docs/CAPACITY.md.
  * `node bench/dist/slopes.js [watchers|announces|beats|routing|membership|quota|prefixes|table|idle]`.
  */
 import { fileURLToPath } from 'node:url';
@@ -37,11 +37,12 @@
   };
 }
 
-function microseconds(times: number, work: (n: number) => void): number {
-  for (let n = 0; n < times / 10; n += 1) work(n);
+/** Returns the mean time of `action` in microseconds, after a warm-up. */
+function microsecondsPerCall(calls: number, action: (n: number) => void): number {
+  for (let n = 0; n < calls / 10; n += 1) action(n);
   const startedMs = performance.now();
-  for (let n = 0; n < times; n += 1) work(n);
-  return ((performance.now() - startedMs) * 1000) / times;
+  for (let n = 0; n < calls; n += 1) action(n);
+  return ((performance.now() - startedMs) * 1000) / calls;
 }
 
 function heapMiB(): number {
@@ -49,8 +50,8 @@
   return process.memoryUsage().heapUsed / 1024 / 1024;
 }
 
-/** Looks of entries at the table: processor time of the leader and bytes of an entry. */
-async function watchers(): Promise<ResultRow[]> {
+/** Measures table refreshes by entries: CPU time of the leader and bytes received per entry. */
+async function measureTableRefreshes(): Promise<ResultRow[]> {
   const rows: ResultRow[] = [];
   for (const [count, editsPerSecond] of [
     [10, 0.3],
@@ -67,13 +68,13 @@
     });
     await fleet.startAll();
     const peer = fleet.controlPeers[0];
-    if (peer === undefined) throw new Error('the fleet has a control instance');
+    if (peer === undefined) throw new Error('the fleet must have a control instance');
     const ports = Array.from(
       { length: count },
       (_, n) => new RemoteControlPort({ name: `entry-${n}`, secret: fleet.secret, peer }),
     );
     let received = 0;
-    let looks = 0;
+    let refreshCount = 0;
     const revisions = new Array<number>(count).fill(-1);
     const timers = ports.map((port, n) =>
       setInterval(() => {
@@ -87,10 +88,10 @@
         };
         void port
           .call('refresh', status, 2000)
-          .then((answer) => {
-            revisions[n] = (answer as RefreshAnswer).delta.revision;
-            looks += 1;
-            received += pack(answer).length;
+          .then((reply) => {
+            revisions[n] = (reply as RefreshAnswer).delta.revision;
+            refreshCount += 1;
+            received += pack(reply).length;
           })
           .catch(() => undefined);
       }, 500),
@@ -120,14 +121,14 @@
     const pid = fleet.pid('control-1');
     const before = await cpuSeconds(pid);
     received = 0;
-    looks = 0;
+    refreshCount = 0;
     await pause(5000);
     const cpu = (await cpuSeconds(pid)) - before;
     rows.push({
       entries: count,
       'edits/s': editsPerSecond,
       'leader % of a core': cpu * 20,
-      'us per look': (cpu * 1e6) / Math.max(1, looks),
+      'us per look': (cpu * 1e6) / Math.max(1, refreshCount),
       'B/s to an entry': received / 5 / count,
       'leader MiB': await memoryMiB(pid),
     });
@@ -138,17 +139,17 @@
   return rows;
 }
 
-/** Heartbeats of endpoints at an entry. */
-function beats(): ResultRow[] {
+/** Measures CPU time, size and memory of endpoint heartbeats at an entry. */
+function measureHeartbeats(): ResultRow[] {
   return [100, 400, 1600].map((count) => {
     const before = heapMiB();
     const directory = new EndpointDirectory();
     for (let n = 0; n < count; n += 1) directory.observe(announcement(n), 0, 0);
     const heap = heapMiB() - before;
-    const whole = pack([[announcement(7), 3]]).length;
-    const short = pack([['engine-7', 1, 1234, 9, 1, 3]]).length;
+    const wholeBytes = pack([[announcement(7), 3]]).length;
+    const shortBytes = pack([['engine-7', 1, 1234, 9, 1, 3]]).length;
     let sequence = 2;
-    const beatUs = microseconds(20_000, (n) => {
+    const heartbeatUs = microsecondsPerCall(20_000, (n) => {
       sequence += 1;
       const [endpointId, incarnation, , running, waiting] = unpack(
         pack([`engine-${n % count}`, 1, sequence, 9, 1, 3]),
@@ -157,16 +158,16 @@
     });
     return {
       endpoints: count,
-      'us per heartbeat': beatUs,
-      'whole B': whole,
-      'short B': short,
+      'us per heartbeat': heartbeatUs,
+      'whole B': wholeBytes,
+      'short B': shortBytes,
       'KiB per endpoint': (heap * 1024) / count,
     };
   });
 }
 
-/** Choice of an engine by the number of engines in a cell. */
-function routing(): ResultRow[] {
+/** Measures the time to choose an engine, by the number of engines that an entry observes. */
+function measureRouting(): ResultRow[] {
   return [50, 200, 400, 1600].map((count) => {
     const fleet = new FleetView({
       availabilityZone: 'zone-1',
@@ -184,22 +185,22 @@
     const prefixes = ['a', 'b', 'c'];
     fleet.prefixes.note('engine-3', prefixes);
     const query = { row, prefixes, sessionId: undefined, excluded: new Set<string>() };
-    const routeUs = microseconds(1000, () => {
+    const routeUs = microsecondsPerCall(1000, () => {
       fleet.route(query, 10_000);
     });
-    const gateUs = microseconds(1000, () => {
+    const pressureUs = microsecondsPerCall(1000, () => {
       fleet.pressure(row, 10_000);
     });
     return {
       'engines in the cell': count,
       'us per choice': routeUs,
-      'us per look at the load': gateUs,
+      'us per look at the load': pressureUs,
     };
   });
 }
 
-/** Failure detection among entries. */
-function membership(): ResultRow[] {
+/** Measures the cost of failure detection among entries. */
+function measureMembership(): ResultRow[] {
   return [12, 90, 360].map((count) => {
     const names = Array.from({ length: count }, (_, n) => `entry-${n}`);
     const random = seededRandom(3);
@@ -229,17 +230,17 @@
   });
 }
 
-/** Leases of limits at the owner. */
-function quota(): ResultRow[] {
+/** Measures the cost of quota requests at the quota owner. */
+function measureQuota(): ResultRow[] {
   return [12, 90, 360].map((count) => {
     const owner = new QuotaOwner({ entryCount: count, epoch: 'o' });
     const tokens = new Map<string, { ownerEpoch: string; atMs: number }>();
     let nowMs = 0;
-    const ask = (n: number): void => {
+    const requestQuota = (n: number): void => {
       const entry = `entry-${n % count}`;
       if (n % count === 0) nowMs += 200;
       const token = tokens.get(entry);
-      const question = {
+      const request = {
         entry,
         row: `w/s${n % 30}|x`,
         demand: 5,
@@ -247,10 +248,10 @@
         revision: 1,
         ...(token ? { token } : {}),
       };
-      tokens.set(entry, owner.ask(question, nowMs).token);
+      tokens.set(entry, owner.ask(request, nowMs).token);
     };
-    const askUs = microseconds(20_000, ask);
-    const askBytes = pack([
+    const requestUs = microsecondsPerCall(20_000, requestQuota);
+    const requestBytes = pack([
       {
         entry: 'entry-12',
         row: 'workspace/service|tokensPerSecond',
@@ -260,12 +261,12 @@
         token: { ownerEpoch: 'abcdefabcdef', atMs: 12345.6 },
       },
     ]).length;
-    return { entries: count, 'us per ask': askUs, 'B per ask': askBytes };
+    return { entries: count, 'us per ask': requestUs, 'B per ask': requestBytes };
   });
 }
 
-/** Memory of what an entry remembers of prefixes, and time to look one up. */
-function prefixes(): ResultRow[] {
+/** Measures the memory of the prefix index of an entry, and the time of a lookup. */
+function measurePrefixIndex(): ResultRow[] {
   return [5000, 20_000, 50_000].map((count) => {
     const before = heapMiB();
     const index = new PrefixIndex({ maxPrefixes: count });
@@ -277,15 +278,15 @@
       prefixes: count,
       MiB: heap,
       'B per prefix': (heap * 1024 * 1024) / count,
-      'us per look-up of 32': microseconds(5000, () => {
+      'us per look-up of 32': microsecondsPerCall(5000, () => {
         index.matches(prompt);
       }),
     };
   });
 }
 
-/** The table of many rows. */
-function table(): ResultRow[] {
+/** Measures memory, edit time and sizes of a table with many rows. */
+function measureTable(): ResultRow[] {
   return [200, 2100, 10_000].map((count) => {
     const before = heapMiB();
     const state = new Table();
@@ -304,7 +305,7 @@
     });
     const heap = heapMiB() - before;
     let n = 0;
-    const editUs = microseconds(2000, () => {
+    const editUs = microsecondsPerCall(2000, () => {
       n += 1;
       state.apply({
         type: 'editRow',
@@ -326,8 +327,8 @@
   });
 }
 
-/** Whole daemons that do nothing but keep up with each other. */
-async function idle(): Promise<ResultRow[]> {
+/** Measures CPU usage and memory of daemons without requests. */
+async function measureIdleFleet(): Promise<ResultRow[]> {
   const rows: ResultRow[] = [];
   for (const entries of [3, 6, 12]) {
     const fleet = await ProcessFleet.create({
@@ -357,8 +358,8 @@
   return rows;
 }
 
-/** Announcements that endpoints post to one entry. */
-async function announces(): Promise<ResultRow[]> {
+/** Measures the cost of endpoint announcements at one entry. */
+async function measureAnnouncements(): Promise<ResultRow[]> {
   const rows: ResultRow[] = [];
   for (const perSecond of [30, 100, 300]) {
     const fleet = await ProcessFleet.create({
@@ -377,7 +378,7 @@
     const timer = setInterval(() => {
       sequence += 1;
       const body = JSON.stringify(announcement(sequence % perSecond, sequence));
-      void fetch(url, { method: 'POST', headers, body }).then((answer) => answer.arrayBuffer());
+      void fetch(url, { method: 'POST', headers, body }).then((response) => response.arrayBuffer());
     }, 1000 / perSecond);
     await pause(2000);
     const pid = fleet.pid('entry-1');
@@ -398,15 +399,15 @@
 }
 
 const parts: Record<string, () => ResultRow[] | Promise<ResultRow[]>> = {
-  beats,
-  routing,
-  membership,
-  quota,
-  prefixes,
-  table,
-  watchers,
-  announces,
-  idle,
+  beats: measureHeartbeats,
+  routing: measureRouting,
+  membership: measureMembership,
+  quota: measureQuota,
+  prefixes: measurePrefixIndex,
+  table: measureTable,
+  watchers: measureTableRefreshes,
+  announces: measureAnnouncements,
+  idle: measureIdleFleet,
 };
 const wanted = process.argv.slice(2);
 for (const [name, part] of Object.entries(parts)) {
--- a/bench/src/support/bench-fleet.ts
+++ b/bench/src/support/bench-fleet.ts
@@ -1,5 +1,5 @@
 /**
- * A fleet of processes with engines, ready to be measured.
+ * A fleet of separate processes with stand-in engines, for benchmarks.
  */
 import { readFile } from 'node:fs/promises';
 import { fileURLToPath } from 'node:url';
@@ -17,6 +17,7 @@
   readonly controls?: number;
   readonly entries: number;
   readonly zones?: readonly string[];
+  /** Additional fields of the table row of the benchmark service. */
   readonly row?: Readonly<Record<string, unknown>>;
   readonly control?: Readonly<Record<string, unknown>>;
   readonly entry?: Readonly<Record<string, unknown>>;
@@ -24,7 +25,7 @@
   readonly engines: Omit<EngineHostsOptions, 'entryUrls'>;
 }
 
-/** A fleet with its engines. */
+/** A fleet with its engines and clients. */
 export interface BenchFleet {
   readonly fleet: ProcessFleet;
   readonly hosts: EngineHosts;
@@ -33,7 +34,7 @@
   close(): Promise<void>;
 }
 
-/** Starts everything and waits until each entry knows each engine. */
+/** Starts a fleet with its engines, and waits until every entry can use all engines. */
 export async function startBenchFleet(options: BenchFleetOptions): Promise<BenchFleet> {
   const fleet = await ProcessFleet.create({
     bin: BIN,
@@ -53,7 +54,7 @@
     ...options.engines,
     entryUrls: fleet.entryUrls,
   });
-  await untilKnown(fleet.entryUrls, options.engines.engines);
+  await waitUntilUsable(fleet.entryUrls, options.engines.engines);
   const close = async (): Promise<void> => {
     hosts.close();
     await Promise.all([caller.close(), operator.close()]);
@@ -62,7 +63,7 @@
   return { fleet, hosts, caller, operator, close };
 }
 
-/** Replaces the table by one row. */
+/** Replaces the table by one with a single row. */
 export async function putRow(
   operator: ShedlineClient,
   row: Readonly<Record<string, unknown>>,
@@ -77,21 +78,21 @@
   await operator.json({ method: 'PUT', path: '/v1/table', body, repeatable: false });
 }
 
-/** Processor seconds that a process has used. */
+/** Returns the CPU time that a process has used, in seconds. */
 export async function cpuSeconds(pid: number): Promise<number> {
   const stat = await readFile(`/proc/${pid}/stat`, 'utf8');
   const fields = stat.slice(stat.lastIndexOf(')') + 2).split(' ');
   return (Number(fields[11]) + Number(fields[12])) / CLOCK_TICKS_PER_SECOND;
 }
 
-/** Resident memory of a process in MiB. */
+/** Returns the resident memory of a process in MiB. */
 export async function memoryMiB(pid: number): Promise<number> {
   const status = await readFile(`/proc/${pid}/status`, 'utf8');
   return Number(/VmRSS:\s+(\d+)/.exec(status)?.[1] ?? 0) / 1024;
 }
 
-async function untilKnown(urls: readonly string[], engines: number): Promise<void> {
-  const known = async (url: string): Promise<number> => {
+async function waitUntilUsable(urls: readonly string[], engines: number): Promise<void> {
+  const countUsable = async (url: string): Promise<number> => {
     const response = await fetch(`${url}/v1/status`, {
       headers: { authorization: `Bearer ${FLEET_TOKENS.operator}` },
     });
@@ -99,7 +100,7 @@
     return status.endpoints.filter((endpoint) => endpoint.usable).length;
   };
   for (;;) {
-    const counts = await Promise.all(urls.map(known));
+    const counts = await Promise.all(urls.map(countUsable));
     if (counts.every((count) => count >= engines)) return;
     await pause(100);
   }
--- a/bench/src/support/engine-host.ts
+++ b/bench/src/support/engine-host.ts
@@ -1,12 +1,12 @@
 /**
- * A process that runs many stand-in engines. Started by the benchmarks; told what to do by
- * messages of its parent.
+ * Main module of a process that runs many stand-in engines. The benchmarks start it and control it
+ * by messages.
  */
 import { StandInEngine } from '@shedline/stand-ins';
 import type { EngineTimes } from '@shedline/stand-ins';
 import { seededRandom } from '@shedline/test-utils';
 
-/** What the parent may ask for. */
+/** A message from the parent process. */
 export type HostRequest =
   | {
       readonly type: 'start';
@@ -25,7 +25,7 @@
   | { readonly type: 'slow'; readonly number: number }
   | { readonly type: 'stats' };
 
-/** Totals over the engines of a host. */
+/** Totals over all engines of a host process. */
 export interface HostStats {
   readonly promptTokens: number;
   readonly cachedTokens: number;
@@ -37,7 +37,7 @@
 
 const engines = new Map<number, StandInEngine>();
 
-async function start(request: HostRequest & { type: 'start' }): Promise<string[]> {
+async function startEngines(request: HostRequest & { type: 'start' }): Promise<string[]> {
   const urls: string[] = [];
   for (
     let number = request.firstNumber;
@@ -62,7 +62,7 @@
   return urls;
 }
 
-function stats(): HostStats {
+function totalStats(): HostStats {
   const total = {
     promptTokens: 0,
     cachedTokens: 0,
@@ -83,9 +83,9 @@
   return total;
 }
 
-async function answer(request: HostRequest): Promise<unknown> {
-  if (request.type === 'start') return start(request);
-  if (request.type === 'stats') return stats();
+async function handleRequest(request: HostRequest): Promise<unknown> {
+  if (request.type === 'start') return startEngines(request);
+  if (request.type === 'stats') return totalStats();
   const engine = engines.get(request.number);
   if (request.type === 'die') engine?.crash();
   if (request.type === 'leave') await engine?.announceLeaving();
@@ -93,6 +93,6 @@
 }
 
 process.on('message', (request: HostRequest) => {
-  void answer(request).then((value) => process.send?.({ value }));
+  void handleRequest(request).then((value) => process.send?.({ value }));
 });
 process.on('disconnect', () => process.exit(0));
--- a/bench/src/support/hosts.ts
+++ b/bench/src/support/hosts.ts
@@ -1,5 +1,5 @@
 /**
- * Processes of stand-in engines, as the benchmarks use them.
+ * Starts and controls the processes that run the stand-in engines of a benchmark.
  */
 import { fork } from 'node:child_process';
 import type { ChildProcess } from 'node:child_process';
@@ -20,7 +20,7 @@
   readonly announceIntervalMs?: number;
 }
 
-/** Engines spread over a few processes. */
+/** Stand-in engines distributed over several host processes. */
 export class EngineHosts {
   readonly urls: string[] = [];
   private readonly children: ChildProcess[] = [];
@@ -38,7 +38,7 @@
       const child = fork(fileURLToPath(new URL('./engine-host.js', import.meta.url)));
       hosts.children.push(child);
       const count = Math.min(hosts.perHost, options.engines - host * hosts.perHost);
-      const urls = await ask(child, {
+      const urls = await enqueueRequest(child, {
         type: 'start',
         count,
         firstNumber: host * hosts.perHost,
@@ -55,19 +55,19 @@
     return hosts;
   }
 
-  /** Kills one engine, or lets it leave. */
-  async tell(type: 'die' | 'leave', number: number): Promise<void> {
+  /** Crashes one engine, or announces that it is draining. */
+  async stopEngine(type: 'die' | 'leave', number: number): Promise<void> {
     const child = this.children[Math.floor(number / this.perHost)];
-    if (child !== undefined) await ask(child, { type, number });
+    if (child !== undefined) await enqueueRequest(child, { type, number });
   }
 
   /** Totals over all engines. */
   async stats(): Promise<HostStats> {
     const all = (await Promise.all(
-      this.children.map((child) => ask(child, { type: 'stats' })),
+      this.children.map((child) => enqueueRequest(child, { type: 'stats' })),
     )) as HostStats[];
     const sum = (pick: (stats: HostStats) => number): number =>
-      all.reduce((total, one) => total + pick(one), 0);
+      all.reduce((total, stats) => total + pick(stats), 0);
     return {
       promptTokens: sum((s) => s.promptTokens),
       cachedTokens: sum((s) => s.cachedTokens),
@@ -78,23 +78,23 @@
     };
   }
 
-  /** Ends all processes. */
+  /** Kills all host processes. */
   close(): void {
     for (const child of this.children) child.kill('SIGKILL');
   }
 }
 
-const underWay = new Map<ChildProcess, Promise<unknown>>();
+const pendingRequests = new Map<ChildProcess, Promise<unknown>>();
 
-/** Asks one thing after another: answers carry no name of their question. */
-function ask(child: ChildProcess, request: HostRequest): Promise<unknown> {
-  const before = underWay.get(child) ?? Promise.resolve();
-  const answer = before.then(() => askNow(child, request));
-  underWay.set(child, answer);
-  return answer;
+/** Sends requests to a process one at a time, because replies carry no request id. */
+function enqueueRequest(child: ChildProcess, request: HostRequest): Promise<unknown> {
+  const previous = pendingRequests.get(child) ?? Promise.resolve();
+  const reply = previous.then(() => sendRequest(child, request));
+  pendingRequests.set(child, reply);
+  return reply;
 }
 
-function askNow(child: ChildProcess, request: HostRequest): Promise<unknown> {
+function sendRequest(child: ChildProcess, request: HostRequest): Promise<unknown> {
   return new Promise((resolve) => {
     child.once('message', (message: { value?: unknown }) => {
       resolve(message.value);
--- a/bench/src/support/load.ts
+++ b/bench/src/support/load.ts
@@ -1,6 +1,6 @@
 /**
- * Open-loop load: arrivals come when they are due whether or not earlier ones have ended, and
- * every wait counts from the moment at which the request was due.
+ * Open-loop load generator: sends each request at its due time, whether or not earlier requests
+ * have ended, and measures latencies from the due time.
  */
 import { ShedlineClient } from '@shedline/client';
 import { FLEET_TOKENS, seededRandom } from '@shedline/test-utils';
@@ -9,35 +9,35 @@
 import { streamOnce } from './stream-client.js';
 import type { StreamResult } from './stream-client.js';
 
-/** Shape of a load. */
+/** Parameters of a load. */
 export interface LoadShape {
   readonly durationMs: number;
   readonly requestsPerSecond: number;
-  /** A burst: from, until and its factor. */
+  /** Interval in which the request rate is multiplied by `factor`. */
   readonly burst?: { readonly fromMs: number; readonly untilMs: number; readonly factor: number };
   readonly openSessions: number;
   readonly maxTokens?: number;
   readonly seed?: number;
 }
 
-/** What a load is sent through. */
+/** Selects the URLs to which a load is sent. */
 export interface LoadTarget {
-  /** An address for the next request; `avoid` failed just now. */
-  pick(avoid: string | undefined): string;
+  /** Returns the URL for the next attempt; `avoid` is the URL that just failed. */
+  nextUrl(avoid: string | undefined): string;
   close(): Promise<void>;
 }
 
-/** One request of a load. */
+/** Result of one request of a load. */
 export interface LoadResult extends StreamResult {
   readonly dueMs: number;
-  readonly moved: boolean;
+  readonly isRetried: boolean;
 }
 
-/** Callers that keep their answer to `addresses` and ask again when it is due. */
-export class KeptAddresses implements LoadTarget {
+/** Caches the response of `/v1/addresses`, and refreshes it when it expires or a URL fails. */
+export class CachedAddresses implements LoadTarget {
   private urls: string[] = [];
-  private keptUntilMs = 0;
-  private asking = false;
+  private cachedUntilMs = 0;
+  private isRefreshing = false;
   private readonly client: ShedlineClient;
 
   constructor(
@@ -47,8 +47,8 @@
     this.client = new ShedlineClient({ urls: seeds, token: FLEET_TOKENS.caller });
   }
 
-  pick(avoid: string | undefined): string {
-    if (performance.now() >= this.keptUntilMs || avoid !== undefined) void this.ask();
+  nextUrl(avoid: string | undefined): string {
+    if (performance.now() >= this.cachedUntilMs || avoid !== undefined) void this.refresh();
     const known = this.urls.length > 0 ? this.urls : this.seeds;
     const usable = known.filter((url) => url !== avoid);
     return usable[Math.floor(this.random() * usable.length)] ?? known[0] ?? '';
@@ -58,33 +58,33 @@
     return this.client.close();
   }
 
-  private async ask(): Promise<void> {
-    if (this.asking) return;
-    this.asking = true;
+  private async refresh(): Promise<void> {
+    if (this.isRefreshing) return;
+    this.isRefreshing = true;
     try {
       const call = { method: 'GET', path: '/v1/addresses', repeatable: true } as const;
-      const answer = (await this.client.json(call)) as {
+      const response = (await this.client.json(call)) as {
         addresses: { url: string }[];
         keepForMs: number;
       };
-      this.urls = answer.addresses.map(({ url }) => url);
-      this.keptUntilMs = performance.now() + answer.keepForMs;
+      this.urls = response.addresses.map(({ url }) => url);
+      this.cachedUntilMs = performance.now() + response.keepForMs;
     } catch {
-      // The old answer serves until the next try.
+      // The cached addresses are used until the next refresh succeeds.
     }
-    this.asking = false;
+    this.isRefreshing = false;
   }
 }
 
-/** Addresses that never change. */
+/** Uses a fixed list of URLs in turn. */
 export class FixedAddresses implements LoadTarget {
-  private next = 0;
+  private requestCount = 0;
 
   constructor(private readonly urls: readonly string[]) {}
 
-  pick(): string {
-    this.next += 1;
-    return this.urls[this.next % this.urls.length] ?? '';
+  nextUrl(): string {
+    this.requestCount += 1;
+    return this.urls[this.requestCount % this.urls.length] ?? '';
   }
 
   close(): Promise<void> {
@@ -92,45 +92,48 @@
   }
 }
 
-/** Sends a load and waits until all of it has ended. */
+/** Sends a load and waits until all requests have ended. */
 export async function runLoad(target: LoadTarget, shape: LoadShape): Promise<LoadResult[]> {
   const random = seededRandom(shape.seed ?? 1);
-  const prompts = Array.from({ length: shape.openSessions }, (_, n) => promptOf(n));
+  const prompts = Array.from({ length: shape.openSessions }, (_, n) => initialPrompt(n));
   const running: Promise<LoadResult>[] = [];
   const startedMs = performance.now();
   for (
     let dueMs = startedMs;
     dueMs < startedMs + shape.durationMs;
-    dueMs += gapMs(shape, dueMs - startedMs, random)
+    dueMs += nextGapMs(shape, dueMs - startedMs, random)
   ) {
     const waitMs = dueMs - performance.now();
     if (waitMs > 0.5) await pause(waitMs);
     const session = Math.floor(random() * prompts.length);
     prompts[session] = `${prompts[session] ?? ''} find ${Math.floor(random() * 1e6)}`;
-    running.push(oneRequest(target, prompts[session] ?? '', shape, dueMs));
+    running.push(sendWithRetries(target, prompts[session] ?? '', shape, dueMs));
   }
   return Promise.all(running);
 }
 
-/** Figures of a load. */
+/** Returns counts and latency percentiles of a load. */
 export function summarize(results: readonly LoadResult[]): ResultRow {
-  const whole = results.filter((result) => result.outcome === 'whole');
-  const firsts = whole.map((result) => result.firstTokenMs);
-  const gaps = whole.flatMap((result) => result.gapsMs);
+  const completed = results.filter((result) => result.outcome === 'whole');
+  const firstTokenTimesMs = completed.map((result) => result.firstTokenMs);
+  const gaps = completed.flatMap((result) => result.gapsMs);
   return {
     requests: results.length,
     refused: results.filter((result) => result.outcome === 'refused').length,
     lost: results.filter((result) => result.outcome === 'failed').length,
-    'first p50 ms': median(firsts),
-    'first p95 ms': percentile(firsts, 95),
-    'first p99 ms': percentile(firsts, 99),
+    'first p50 ms': median(firstTokenTimesMs),
+    'first p95 ms': percentile(firstTokenTimesMs, 95),
+    'first p99 ms': percentile(firstTokenTimesMs, 99),
     'gap p95 ms': percentile(gaps, 95),
     'gap p99 ms': percentile(gaps, 99),
   };
 }
 
-/** A refused connection has run nothing: the caller goes to its next address, as the client does. */
-async function oneRequest(
+/**
+ * Sends one request; after a failure, retries it at another URL up to 3 times, as the client library
+ * does: a refused connection has executed nothing.
+ */
+async function sendWithRetries(
   target: LoadTarget,
   prompt: string,
   shape: LoadShape,
@@ -141,24 +144,24 @@
     messages: [{ role: 'user', content: prompt }],
     ...(shape.maxTokens === undefined ? {} : { max_tokens: shape.maxTokens }),
   };
-  let url = target.pick(undefined);
+  let url = target.nextUrl(undefined);
   let result = await streamOnce(url, body, dueMs);
-  let moved = false;
-  for (let tries = 0; tries < 3 && result.outcome === 'failed'; tries += 1) {
-    moved = true;
-    url = target.pick(url);
+  let isRetried = false;
+  for (let retries = 0; retries < 3 && result.outcome === 'failed'; retries += 1) {
+    isRetried = true;
+    url = target.nextUrl(url);
     result = await streamOnce(url, body, dueMs);
   }
-  return { ...result, dueMs, moved };
+  return { ...result, dueMs, isRetried };
 }
 
-function gapMs(shape: LoadShape, sinceMs: number, random: () => number): number {
+function nextGapMs(shape: LoadShape, sinceMs: number, random: () => number): number {
   const { burst } = shape;
   const inBurst = burst !== undefined && sinceMs >= burst.fromMs && sinceMs < burst.untilMs;
   const rate = shape.requestsPerSecond * (inBurst ? burst.factor : 1);
   return (-Math.log(1 - random()) * 1000) / rate;
 }
 
-function promptOf(session: number): string {
+function initialPrompt(session: number): string {
   return `You answer for trench ${session % 8}. `.repeat(24) + `Session ${session}.`;
 }
--- a/bench/src/support/naive-hop.ts
+++ b/bench/src/support/naive-hop.ts
@@ -1,6 +1,6 @@
 /**
- * The naive baseline: a hop that sends each request to the next engine in turn, with no
- * limits, no ejection, no retries and no second thoughts. Told its engines by its parent.
+ * The naive baseline: a round-robin proxy to the engines, without limits, ejection or retries. Its
+ * parent process sends it the engine URLs.
  */
 import { createServer } from 'node:http';
 import type { AddressInfo } from 'node:net';
@@ -13,7 +13,7 @@
   bodyTimeout: 0,
 });
 let engines: string[] = [];
-let next = 0;
+let requestCount = 0;
 
 process.on('message', (urls: string[]) => {
   engines = urls;
@@ -24,8 +24,8 @@
   const parts: Buffer[] = [];
   incoming.on('data', (part: Buffer) => parts.push(part));
   incoming.on('end', () => {
-    next += 1;
-    const target = (engines[next % engines.length] ?? '') + (incoming.url ?? '');
+    requestCount += 1;
+    const target = (engines[requestCount % engines.length] ?? '') + (incoming.url ?? '');
     const headers = { 'content-type': 'application/json' };
     request(target, {
       dispatcher: agent,
--- a/bench/src/support/pass-through.ts
+++ b/bench/src/support/pass-through.ts
@@ -1,6 +1,6 @@
 /**
- * The least that a hop can do: passes bodies through and decides nothing. The baseline beside
- * which the overhead of an entry is read.
+ * A minimal proxy that forwards all requests to one engine. It is the baseline for the overhead
+ * of an entry.
  */
 import { createServer } from 'node:http';
 import type { AddressInfo } from 'node:net';
--- a/bench/src/support/report.ts
+++ b/bench/src/support/report.ts
@@ -1,9 +1,9 @@
 /**
- * Output of the benchmarks: a table on the terminal and JSON beside it.
+ * Output of the benchmarks: a table on standard output and a JSON file.
  */
 import { mkdir, writeFile } from 'node:fs/promises';
 
-/** One line of a result. */
+/** One row of a result table, by column name. */
 export type ResultRow = Readonly<Record<string, string | number>>;
 
 /** Prints rows as a table and writes them as JSON into `bench/out`. */
@@ -20,19 +20,19 @@
   await writeFile(`bench/out/${name}.json`, JSON.stringify(rows, null, 2));
 }
 
-/** The middle value. */
+/** Returns the median, or 0 for an empty list. */
 export function median(values: readonly number[]): number {
   const sorted = [...values].sort((a, b) => a - b);
   return sorted[Math.floor(sorted.length / 2)] ?? 0;
 }
 
-/** A percentile, such as 99. */
+/** Returns a percentile; `percent` is between 0 and 100. */
 export function percentile(values: readonly number[], percent: number): number {
   const sorted = [...values].sort((a, b) => a - b);
   return sorted[Math.min(sorted.length - 1, Math.floor((sorted.length * percent) / 100))] ?? 0;
 }
 
-/** Waits. */
+/** Waits for `pauseMs` milliseconds. */
 export function pause(pauseMs: number): Promise<void> {
   return new Promise((resolve) => setTimeout(resolve, pauseMs));
 }
--- a/bench/src/support/stream-client.ts
+++ b/bench/src/support/stream-client.ts
@@ -1,13 +1,15 @@
 /**
- * A lean client that measures one streamed answer.
+ * A minimal client that measures one streamed response.
  */
 import { Agent, request } from 'undici';
 import { FLEET_TOKENS } from '@shedline/test-utils';
 
-/** How one request went. Times in milliseconds since it was due. */
+/** Outcome of one request. */
 export interface StreamResult {
   readonly outcome: 'whole' | 'refused' | 'failed';
+  /** Time from the due time to the first token. */
   readonly firstTokenMs: number;
+  /** Times between consecutive chunks with tokens. */
   readonly gapsMs: readonly number[];
   readonly tokens: number;
   readonly message: string;
@@ -22,7 +24,10 @@
 const TOKEN_MARK = Buffer.from('"content":"');
 const DONE_MARK = '[DONE]';
 
-/** Sends one request; `dueMs` is when it should have gone out, so that no wait is hidden. */
+/**
+ * Sends one request. `dueMs` is the scheduled send time, so that the latency includes a delay
+ * before sending.
+ */
 export async function streamOnce(
   url: string,
   body: Readonly<Record<string, unknown>>,
@@ -53,11 +58,11 @@
     }
     for await (const bytes of response.body as AsyncIterable<Buffer>) {
       const nowMs = performance.now();
-      const found = count(bytes, TOKEN_MARK);
-      if (found > 0) {
+      const markCount = countMarks(bytes, TOKEN_MARK);
+      if (markCount > 0) {
         if (tokens === 0) firstTokenMs = nowMs - dueMs;
         else gapsMs.push(nowMs - lastMs);
-        tokens += found;
+        tokens += markCount;
         lastMs = nowMs;
       }
       tail = bytes.subarray(-64).toString();
@@ -70,8 +75,9 @@
   return { outcome, firstTokenMs, gapsMs, tokens, message: outcome === 'whole' ? '' : tail };
 }
 
-function count(bytes: Buffer, mark: Buffer): number {
-  let found = 0;
-  for (let at = bytes.indexOf(mark); at !== -1; at = bytes.indexOf(mark, at + 1)) found += 1;
-  return found;
+function countMarks(bytes: Buffer, mark: Buffer): number {
+  let markCount = 0;
+  for (let offset = bytes.indexOf(mark); offset !== -1; offset = bytes.indexOf(mark, offset + 1))
+    markCount += 1;
+  return markCount;
 }
