--- a/bench/src/batch.ts
+++ b/bench/src/batch.ts
@@ -74,6 +74,10 @@
   };
 }
 
+/**
+ * Sends the online load beside batch requests of one mode. Returns the result row, and the numbers
+ * of tokens generated in total and for online requests.
+ */
 async function runMode(
   mode: BatchMode,
 ): Promise<{ row: ResultRow; generated: number; online: number }> {
@@ -108,7 +112,8 @@
   return { row, generated, online };
 }
 
-async function batchModes(): Promise<ResultRow[]> {
+/** Measures online latency and batch throughput in every mode. */
+async function measureModes(): Promise<ResultRow[]> {
   const rows: ResultRow[] = [];
   const batchOff = await runMode('batch off');
   const batchOnly = await runMode('batch alone');
@@ -133,7 +138,7 @@
   return rows;
 }
 
-/** Writes an SVG plot of online latency over harvested capacity for all dial values. */
+/** Writes an SVG plot of online latency over the idle capacity that batch uses, by dial value. */
 async function writePlot(rows: readonly ResultRow[]): Promise<void> {
   const points = rows.filter(
     (row) => String(row.batch).startsWith('dial') || row.batch === 'as it comes',
@@ -155,7 +160,7 @@
 }
 
 /** Measures the time from an online request until the batch streams beside it have stopped. */
-async function yieldTimes(): Promise<ResultRow[]> {
+async function measureYieldTimes(): Promise<ResultRow[]> {
   const bench = await startFleet(0);
   await bench.caller.submitJob({
     service: 'chat',
@@ -193,7 +198,7 @@
 }
 
 /** Runs jobs beside online load; the largest job is submitted first, the most urgent one last. */
-async function dueTimes(): Promise<ResultRow[]> {
+async function measureDueTimes(): Promise<ResultRow[]> {
   const rows: ResultRow[] = [];
   const plans = [
     {
@@ -262,7 +267,7 @@
 }
 
 /** Measures items per second from upload to result, with one control instance and fast engines. */
-async function itemRate(): Promise<ResultRow[]> {
+async function measureItemRate(): Promise<ResultRow[]> {
   const rows: ResultRow[] = [];
   for (const count of [2000, 10_000, 40_000]) {
     const bench = await startBenchFleet({
@@ -303,7 +308,7 @@
 }
 
 /** Measures the memory and the snapshot size of each open item. */
-async function itemMemory(): Promise<ResultRow[]> {
+async function measureItemMemory(): Promise<ResultRow[]> {
   const rows: ResultRow[] = [];
   for (const count of [10_000, 100_000, 520_000]) {
     const jobs = new Jobs(new MemoryItemFiles());
@@ -345,11 +350,11 @@
 }
 
 const parts: Record<string, () => Promise<ResultRow[]>> = {
-  memory: itemMemory,
-  yield: yieldTimes,
-  items: itemRate,
-  onTime: dueTimes,
-  mix: batchModes,
+  memory: measureItemMemory,
+  yield: measureYieldTimes,
+  items: measureItemRate,
+  onTime: measureDueTimes,
+  mix: measureModes,
 };
 const wanted = process.argv.slice(2);
 for (const [name, part] of Object.entries(parts)) {
--- a/bench/src/binding.ts
+++ b/bench/src/binding.ts
@@ -1,6 +1,6 @@
 /**
  * Prints where a simulated day lost score, from a JSON report: the loss by each part of the score
- * and by each price, which add up to 1 minus the score, and the windows with the lowest score.
+ * and by each deduction, which add up to 1 minus the score, and the windows with the lowest score.
  *
  * `node bench/dist/binding.js REPORT.json`
  */
--- a/bench/src/control.ts
+++ b/bench/src/control.ts
@@ -133,7 +133,7 @@
   return rows;
 }
 
-/** Measures how long no edit ends after the leader is killed, and after its graceful stop. */
+/** Measures the longest gap between edits when the leader is killed or stops gracefully. */
 async function measureFailover(): Promise<ResultRow[]> {
   const gaps: Record<string, number[]> = { kill: [], stop: [] };
   await withControls({ jobGroupCount: 1 }, async (fleet, client) => {
--- a/bench/src/routing.ts
+++ b/bench/src/routing.ts
@@ -30,7 +30,7 @@
 interface SimulatedEngine {
   readonly id: string;
   readonly engine: BatchingEngine;
-  reported: number;
+  reportedLoad: number;
   pendingCacheEvents: string[];
 }
 
@@ -58,10 +58,10 @@
 
 /** Chooses the engine with the least reported load, ignoring the requests of this entry. */
 class LeastReportedLoad implements RoutingStrategy {
-  constructor(private readonly reported: (id: string) => number) {}
+  constructor(private readonly reportedLoad: (id: string) => number) {}
 
   choose({ candidates }: RouteRequest): Candidate | undefined {
-    const loads = candidates.map((candidate) => this.reported(candidate.endpointId));
+    const loads = candidates.map((candidate) => this.reportedLoad(candidate.endpointId));
     return candidates[loads.indexOf(Math.min(...loads))];
   }
 }
@@ -107,22 +107,22 @@
 
 async function runStrategy(
   name: string,
-  createStrategy: (random: () => number, reported: (id: string) => number) => RoutingStrategy,
+  createStrategy: (random: () => number, reportedLoad: (id: string) => number) => RoutingStrategy,
 ): Promise<ResultRow> {
   const random = seededRandom(4);
   const engines = Array.from({ length: ENGINES }, (_, index): SimulatedEngine => ({
     id: `engine-${index}`,
     engine: new BatchingEngine({ times: TIMES, cacheBlocks: 600 }),
-    reported: 0,
+    reportedLoad: 0,
     pendingCacheEvents: [],
   }));
-  const reported = (id: string): number =>
-    engines.find((engine) => engine.id === id)?.reported ?? 0;
+  const reportedLoad = (id: string): number =>
+    engines.find((engine) => engine.id === id)?.reportedLoad ?? 0;
   const entries = Array.from({ length: ENTRIES }, (): SimulatedEntry => ({
     loads: new LoadView(),
     prefixes: new PrefixIndex(),
     sessions: new Map(),
-    strategy: createStrategy(random, reported),
+    strategy: createStrategy(random, reportedLoad),
   }));
   const reportTimer = setInterval(() => {
     reportLoads(engines, entries, random);
@@ -176,10 +176,10 @@
   const nowMs = performance.now();
   for (const simulated of engines) {
     for (const { loads, prefixes } of entries) {
-      loads.report(simulated.id, simulated.reported, CAPACITY, REPORT_INTERVAL_MS, nowMs);
+      loads.report(simulated.id, simulated.reportedLoad, CAPACITY, REPORT_INTERVAL_MS, nowMs);
       prefixes.note(simulated.id, simulated.pendingCacheEvents);
     }
-    simulated.reported = simulated.engine.running;
+    simulated.reportedLoad = simulated.engine.running;
     simulated.pendingCacheEvents = simulated.engine
       .takeNewlyCached()
       .filter(() => random() >= CACHE_EVENT_LOSS_SHARE);
@@ -294,7 +294,7 @@
       }),
   ),
   await runStrategy('round robin', () => new RoundRobin()),
-  await runStrategy('least by reports', (_, reported) => new LeastReportedLoad(reported)),
+  await runStrategy('least by reports', (_, reportedLoad) => new LeastReportedLoad(reportedLoad)),
   await runStrategy('two choices', (random) => new TwoChoices(random)),
   await runStrategy('plain hash', () => new SessionHash()),
 ];
--- a/bench/src/support/load.ts
+++ b/bench/src/support/load.ts
@@ -130,8 +130,8 @@
 }
 
 /**
- * Sends one request; after a failure, retries it at another URL up to 3 times, as the client library
- * does: a refused connection has executed nothing.
+ * Sends one request; after a failure, retries it at another URL up to 3 times. The client library
+ * also does this, because a refused connection has executed nothing.
  */
 async function sendWithRetries(
   target: LoadTarget,
--- a/packages/cli/src/crash.test.ts
+++ b/packages/cli/src/crash.test.ts
@@ -71,7 +71,7 @@
 describe('fleet of processes', () => {
   test.serial(
     title(
-      'records one result for each item while entries, engines and control instances are killed',
+      'records one result per item and sends non-idempotent items once while processes are killed',
     ),
     async (t) => {
       const random = seededRandom(11);
