--- a/bench/src/routing.ts
+++ b/bench/src/routing.ts
@@ -2,7 +2,7 @@
  * Compares routing strategies on stand-in engines: sessions share system prompts, several entries
  * route independently, load reports lag, and cache events arrive late and incompletely.
  */
-import { CostRouting, LoadView, PrefixIndex, sessionHome } from '@shedline/routing';
+import { CostRouting, LoadView, PrefixIndex, firstSessionEndpoint } from '@shedline/routing';
 import type { Candidate, RouteRequest, RoutingStrategy } from '@shedline/routing';
 import { BatchingEngine, planGeneration } from '@shedline/stand-ins';
 import { seededRandom } from '@shedline/test-utils';
@@ -176,8 +176,8 @@
   const nowMs = performance.now();
   for (const simulated of engines) {
     for (const { loads, prefixes } of entries) {
-      loads.report(simulated.id, simulated.reportedLoad, CAPACITY, REPORT_INTERVAL_MS, nowMs);
-      prefixes.note(simulated.id, simulated.pendingCacheEvents);
+      loads.applyReport(simulated.id, simulated.reportedLoad, CAPACITY, REPORT_INTERVAL_MS, nowMs);
+      prefixes.record(simulated.id, simulated.pendingCacheEvents);
     }
     simulated.reportedLoad = simulated.engine.running;
     simulated.pendingCacheEvents = simulated.engine
@@ -189,9 +189,10 @@
 function sharePeerCounts(entries: readonly SimulatedEntry[]): void {
   const nowMs = performance.now();
   for (const [index, from] of entries.entries()) {
-    for (const { endpointId, online, batch } of from.loads.own()) {
+    for (const { endpointId, online, batch } of from.loads.ownCounts()) {
       for (const to of entries) {
-        if (to !== from) to.loads.peerCount(endpointId, `entry-${index}`, { online, batch }, nowMs);
+        if (to !== from)
+          to.loads.recordPeerCounts(endpointId, `entry-${index}`, { online, batch }, nowMs);
       }
     }
   }
@@ -242,20 +243,20 @@
   }));
   const sessionEndpointId =
     entry.sessions.get(session.id) ??
-    sessionHome(
+    firstSessionEndpoint(
       session.id,
       engines.map(({ id }) => id),
     );
   const chosen = entry.strategy.choose({
     candidates,
-    heldBlocks: entry.prefixes.matches(hashes),
+    heldBlocks: entry.prefixes.matchingBlocks(hashes),
     promptBlocks: hashes.length,
     availabilityZone: 'z',
     ...(sessionEndpointId === undefined ? {} : { sessionEndpointId }),
   });
   const target = engines.find(({ id }) => id === chosen?.endpointId);
   if (target === undefined) return;
-  entry.loads.change(target.id, 'online', 1);
+  entry.loads.recordChange(target.id, 'online', 1);
   let isFirst = true;
   target.engine.start(session.prompt, {
     requestId: `r${count}`,
@@ -264,14 +265,14 @@
     onToken: () => {
       if (isFirst) {
         firstTokenTimesMs.push(performance.now() - dueMs);
-        entry.prefixes.note(target.id, hashes);
+        entry.prefixes.record(target.id, hashes);
         entry.sessions.set(session.id, target.id);
       }
       isFirst = false;
       return true;
     },
     onEnd: () => {
-      entry.loads.change(target.id, 'online', -1);
+      entry.loads.recordChange(target.id, 'online', -1);
     },
   });
 }
--- a/bench/src/slopes.ts
+++ b/bench/src/slopes.ts
@@ -154,7 +154,7 @@
       const [endpointId, incarnation, , running, waiting] = unpack(
         pack([`engine-${n % count}`, 1, sequence, 9, 1, 3]),
       ) as [string, number, number, number, number];
-      directory.beat({ endpointId, incarnation, sequence, running, waiting }, 3, n);
+      directory.applyHeartbeat({ endpointId, incarnation, sequence, running, waiting }, 3, n);
     });
     return {
       endpoints: count,
@@ -174,7 +174,7 @@
       endpointLeaseMs: 1e9,
       random: seededRandom(1),
     });
-    for (let n = 0; n < count; n += 1) fleet.observe(announcement(n), 0, 0);
+    for (let n = 0; n < count; n += 1) fleet.applyAnnouncement(announcement(n), 0, 0);
     const row: ServiceRow = {
       ...DEFAULT_ROW_FIELDS,
       workspace: 'w',
@@ -183,13 +183,13 @@
       models: ['model-8b'],
     };
     const prefixes = ['a', 'b', 'c'];
-    fleet.prefixes.note('engine-3', prefixes);
+    fleet.prefixes.record('engine-3', prefixes);
     const query = { row, prefixes, sessionId: undefined, excluded: new Set<string>() };
     const routeUs = microsecondsPerCall(1000, () => {
       fleet.route(query, 10_000);
     });
     const pressureUs = microsecondsPerCall(1000, () => {
-      fleet.pressure(row, 10_000);
+      fleet.loadAndCapacityOf(row, 10_000);
     });
     return {
       'engines in the cell': count,
@@ -248,7 +248,7 @@
         revision: 1,
         ...(token ? { token } : {}),
       };
-      tokens.set(entry, owner.ask(request, nowMs).token);
+      tokens.set(entry, owner.grant(request, nowMs).token);
     };
     const requestUs = microsecondsPerCall(20_000, requestQuota);
     const requestBytes = pack([
@@ -271,7 +271,7 @@
     const before = heapMiB();
     const index = new PrefixIndex({ maxPrefixes: count });
     for (let n = 0; n < count; n += 1)
-      index.note(`engine-${n % 400}`, [`prefix-${n.toString(36)}`]);
+      index.record(`engine-${n % 400}`, [`prefix-${n.toString(36)}`]);
     const heap = heapMiB() - before;
     const prompt = Array.from({ length: 32 }, (_, n) => `prefix-${(n * 17).toString(36)}`);
     return {
@@ -279,7 +279,7 @@
       MiB: heap,
       'B per prefix': (heap * 1024 * 1024) / count,
       'us per look-up of 32': microsecondsPerCall(5000, () => {
-        index.matches(prompt);
+        index.matchingBlocks(prompt);
       }),
     };
   });
--- a/packages/admission/src/admission.test.ts
+++ b/packages/admission/src/admission.test.ts
@@ -6,7 +6,7 @@
 import { QuotaHolder } from './quota.js';
 import { RateBucket } from './rate.js';
 import { RetryBudget } from './retry-budget.js';
-import { mayRetry, ranAfter } from './retry-decision.js';
+import { mayRetry, ranAfterAttempts } from './retry-decision.js';
 import type { SendProgress } from './retry-decision.js';
 import { RowLimits } from './row-limits.js';
 
@@ -17,7 +17,7 @@
   test(title('"not run" is reported only if no attempt can have run'), (t) => {
     fc.assert(
       fc.property(fc.array(progress, { maxLength: 6 }), (attempts) => {
-        t.is(ranAfter(attempts) === 'no', !attempts.includes('sent'));
+        t.is(ranAfterAttempts(attempts) === 'no', !attempts.includes('sent'));
       }),
       { seed: SEED },
     );
@@ -54,7 +54,7 @@
         for (const isRequest of events) {
           if (isRequest) {
             requests += 1;
-            budget.requested();
+            budget.recordRequest();
           } else if (budget.takeRetry()) retries += 1;
         }
         t.true(retries <= 20 + 0.2 * requests);
@@ -91,7 +91,7 @@
     t.true(
       !refused.admitted && refused.limit === 'concurrentRequests' && refused.retryAfterMs >= 50,
     );
-    limits.finished('w/s');
+    limits.release('w/s');
     t.true(limits.admit('w/s', row, 2).admitted);
   });
 
@@ -140,10 +140,10 @@
 describe('ConcurrencyLimit', () => {
   test(title('shrinks while first tokens exceed the target and grows again afterwards'), (t) => {
     const limit = new ConcurrencyLimit({ targetMs: 100, initial: 32, max: 64 });
-    for (let n = 0; n < 120; n += 1) limit.sample(200, 32);
+    for (let n = 0; n < 120; n += 1) limit.addSample(200, 32);
     const shrunk = limit.value;
     t.true(shrunk < 10);
-    for (let n = 0; n < 240; n += 1) limit.sample(20, 32);
+    for (let n = 0; n < 240; n += 1) limit.addSample(20, 32);
     t.true(limit.value > shrunk + 10);
   });
 });
--- a/packages/admission/src/caller-time-limits.ts
+++ b/packages/admission/src/caller-time-limits.ts
@@ -17,13 +17,13 @@
   private next = 0;
 
   /** Records the time that a caller will still wait. */
-  note(timeLeftMs: number): void {
+  record(timeLeftMs: number): void {
     this.recentMs[this.next] = timeLeftMs;
     this.next = (this.next + 1) % SAMPLE_COUNT;
   }
 
   /** Returns the estimated time since the first attempt of a caller that will wait this long. */
-  ageMs(timeLeftMs: number): number {
+  sinceFirstAttemptMs(timeLeftMs: number): number {
     const sorted = [...this.recentMs].sort((a, b) => a - b);
     const typicalMs = sorted[Math.floor(sorted.length * TYPICAL_QUANTILE)] ?? timeLeftMs;
     return Math.max(0, typicalMs - timeLeftMs);
--- a/packages/admission/src/concurrency-limit.ts
+++ b/packages/admission/src/concurrency-limit.ts
@@ -41,7 +41,7 @@
   }
 
   /** Adds the first-token latency of a request, and the load of the endpoint when it was sent. */
-  sample(latencyMs: number, load: number): void {
+  addSample(latencyMs: number, load: number): void {
     this.samples.push(latencyMs);
     this.peakLoad = Math.max(this.peakLoad, load);
     if (this.samples.length < WINDOW_SAMPLES) return;
--- a/packages/admission/src/fair-queue-order.test.ts
+++ b/packages/admission/src/fair-queue-order.test.ts
@@ -30,19 +30,19 @@
 /** One of the compared queue orders. */
 interface QueueOrder {
   readonly name: string;
-  asked(rank: number, nowMs: number): void;
-  served(request: QueuedRequest, nowMs: number): void;
+  recordArrival(rank: number, nowMs: number): void;
+  recordServed(request: QueuedRequest, nowMs: number): void;
   order(waiting: readonly QueueItem[], nowMs: number): QueueItem[];
 }
 
 class EarliestTargetFirst implements QueueOrder {
   readonly name: string = 'earliest target first';
 
-  asked(): void {
+  recordArrival(): void {
     // This order keeps no state.
   }
 
-  served(): void {
+  recordServed(): void {
     // This order keeps no state.
   }
 
@@ -92,11 +92,11 @@
         const request = {
           workspace,
           rank,
-          onTimeUntilMs: nowMs + TARGET_MS,
+          targetDeadlineMs: nowMs + TARGET_MS,
           deadlineMs: nowMs + DEADLINE_MS,
         };
         waiting.push({ request });
-        queueOrder.asked(rank, nowMs);
+        queueOrder.recordArrival(rank, nowMs);
         countOf(counts, workspace).arrived += 1;
       }
     });
@@ -105,10 +105,10 @@
     const [first, ...others] = queueOrder.order(waiting, nowMs);
     if (first === undefined) continue;
     waiting = others;
-    queueOrder.served(first.request, nowMs);
+    queueOrder.recordServed(first.request, nowMs);
     const count = countOf(counts, first.request.workspace ?? '');
     count.served += 1;
-    if (first.request.onTimeUntilMs >= nowMs) count.withinTarget += 1;
+    if (first.request.targetDeadlineMs >= nowMs) count.withinTarget += 1;
   }
   return counts;
 }
--- a/packages/admission/src/fair-queue-order.ts
+++ b/packages/admission/src/fair-queue-order.ts
@@ -42,14 +42,14 @@
   private countedAtMs = 0;
 
   /** Records the arrival of a request. */
-  asked(rank: number, nowMs: number): void {
+  recordArrival(rank: number, nowMs: number): void {
     this.decay(nowMs);
     this.countsOf(rank).arrived += 1;
     this.all.arrived += 1;
   }
 
   /** Records that a request was assigned to an endpoint. */
-  served({ rank, workspace = '' }: QueuedRequest, nowMs: number): void {
+  recordServed({ rank, workspace = '' }: QueuedRequest, nowMs: number): void {
     this.decay(nowMs);
     this.countsOf(rank).assigned += 1;
     this.all.assigned += 1;
--- a/packages/admission/src/overload-gate.ts
+++ b/packages/admission/src/overload-gate.ts
@@ -38,7 +38,7 @@
   private readonly rows = new Map<string, RowActivity>();
   private consecutiveRefusals = 0;
 
-  /** Admits or refuses a request; {@link finished} must be called for each admitted request. */
+  /** Admits or refuses a request; {@link release} must be called for each admitted request. */
   decide(request: GateRequest, nowMs: number): GateDecision {
     const activity = this.activityOf(request, nowMs);
     const utilization = request.capacity <= 0 ? Infinity : request.load / request.capacity;
@@ -56,7 +56,7 @@
   }
 
   /** Records that an admitted request ended. */
-  finished(row: string): void {
+  release(row: string): void {
     const activity = this.rows.get(row);
     if (activity !== undefined) activity.running = Math.max(0, activity.running - 1);
   }
--- a/packages/admission/src/quota.test.ts
+++ b/packages/admission/src/quota.test.ts
@@ -76,7 +76,7 @@
       messages.push({ dueMs: nowMs + random() * 900, deliver });
   };
   const sendRequest = (entry: Entry): void => {
-    const ownerName = entry.holder.ownerToAsk(entry.preferred, nowMs);
+    const ownerName = entry.holder.selectOwner(entry.preferred, nowMs);
     const owner = entries.find((candidate) => candidate.name === ownerName);
     if (ownerName === undefined || owner === undefined) return;
     const requestedAtMs = nowMs;
@@ -91,9 +91,9 @@
       ...(token ? { token } : {}),
     };
     send(entry.name, ownerName, () => {
-      const reply: QuotaAnswer = owner.owner.ask(request, nowMs);
+      const reply: QuotaAnswer = owner.owner.grant(request, nowMs);
       send(ownerName, entry.name, () => {
-        entry.holder.answered(ownerName, ROW, reply, requestedAtMs);
+        entry.holder.recordReply(ownerName, ROW, reply, requestedAtMs);
       });
     });
   };
@@ -167,7 +167,7 @@
     let token: QuotaAnswer['token'] | undefined;
     let granted = 0;
     const request = (entry: string, demand: number, nowMs: number): number => {
-      const reply = owner.ask(
+      const reply = owner.grant(
         { entry, row: ROW, demand, limit: LIMIT, revision: 1, ...(token ? { token } : {}) },
         nowMs,
       );
--- a/packages/admission/src/quota.ts
+++ b/packages/admission/src/quota.ts
@@ -97,7 +97,7 @@
   }
 
   /** Grants a share that the requesting entry may use for the lease period. */
-  ask(request: QuotaRequest, nowMs: number): QuotaAnswer {
+  grant(request: QuotaRequest, nowMs: number): QuotaAnswer {
     this.recordSupport(request, nowMs);
     const row = this.rowOf(request);
     const requester = row.requesters.get(request.entry) ?? {
@@ -118,7 +118,7 @@
   }
 
   /** Removes rows that were not requested recently. */
-  forgetIdle(nowMs: number): void {
+  removeIdle(nowMs: number): void {
     for (const [key, row] of this.rows) {
       const isActive = [...row.requesters.values()].some(
         (requester) => nowMs - requester.lastRequestAtMs < IDLE_LEASE_PERIODS * this.leaseMs,
@@ -231,7 +231,7 @@
    * the result is undefined until a lease period has passed since the last request to another
    * owner.
    */
-  ownerToAsk(preferred: string, nowMs: number): string | undefined {
+  selectOwner(preferred: string, nowMs: number): string | undefined {
     if (preferred !== this.owner) {
       if (nowMs - this.lastRequestAtMs < this.leaseMs) return undefined;
       this.owner = preferred;
@@ -250,7 +250,7 @@
    * Records a reply of `owner`. The lease is counted from the time of the request, which is before
    * the time of the grant.
    */
-  answered(owner: string, row: string, reply: QuotaAnswer, requestedAtMs: number): void {
+  recordReply(owner: string, row: string, reply: QuotaAnswer, requestedAtMs: number): void {
     if (owner !== this.owner) return;
     this.token = reply.token;
     this.shares.set(row, { amount: reply.granted, untilMs: requestedAtMs + this.leaseMs });
--- a/packages/admission/src/retry-budget.ts
+++ b/packages/admission/src/retry-budget.ts
@@ -24,7 +24,7 @@
   }
 
   /** Adds the share of a new request to the budget. */
-  requested(): void {
+  recordRequest(): void {
     this.savedRetries = Math.min(this.maxSavedRetries, this.savedRetries + this.retriesPerRequest);
   }
 
--- a/packages/admission/src/retry-decision.ts
+++ b/packages/admission/src/retry-decision.ts
@@ -1,7 +1,7 @@
 /**
  * Decides whether a failed attempt may be retried, and what is reported about its execution.
  */
-import type { Ran } from '@shedline/types';
+import type { ExecutionStatus } from '@shedline/types';
 
 /** How far an attempt to send a request got. */
 export type SendProgress =
@@ -36,6 +36,6 @@
 }
 
 /** Returns whether the request ran in any attempt: `no` only if none of them can have run it. */
-export function ranAfter(attempts: readonly SendProgress[]): Ran {
+export function ranAfterAttempts(attempts: readonly SendProgress[]): ExecutionStatus {
   return attempts.every((progress) => progress !== 'sent') ? 'no' : 'unknown';
 }
--- a/packages/admission/src/row-limits.ts
+++ b/packages/admission/src/row-limits.ts
@@ -77,7 +77,7 @@
   }
 
   /** Records that an admitted request ended. */
-  finished(row: string): void {
+  release(row: string): void {
     const usage = this.rows.get(row);
     if (usage !== undefined) usage.concurrent = Math.max(0, usage.concurrent - 1);
   }
--- a/packages/admission/src/wait-estimate.test.ts
+++ b/packages/admission/src/wait-estimate.test.ts
@@ -7,7 +7,7 @@
 
 const waiting = fc.record({
   rank: fc.nat(3),
-  onTimeUntilMs: fc.nat(2000),
+  targetDeadlineMs: fc.nat(2000),
   deadlineMs: fc.nat(9000),
 });
 
@@ -15,7 +15,7 @@
 
 function estimateOf(runMs: number): WaitEstimate {
   const estimate = new WaitEstimate();
-  estimate.completed(runMs);
+  estimate.recordRun(runMs);
   return estimate;
 }
 
@@ -39,10 +39,10 @@
   });
 
   test(title('orders requests within their target before late ones of the same rank'), (t) => {
-    const late = { rank: 0, onTimeUntilMs: 100, deadlineMs: 400 };
-    const earlier = { rank: 0, onTimeUntilMs: 250, deadlineMs: 5000 };
-    const later = { rank: 0, onTimeUntilMs: 300, deadlineMs: 5000 };
-    const lessUrgent = { rank: 1, onTimeUntilMs: 210, deadlineMs: 300 };
+    const late = { rank: 0, targetDeadlineMs: 100, deadlineMs: 400 };
+    const earlier = { rank: 0, targetDeadlineMs: 250, deadlineMs: 5000 };
+    const later = { rank: 0, targetDeadlineMs: 300, deadlineMs: 5000 };
+    const lessUrgent = { rank: 1, targetDeadlineMs: 210, deadlineMs: 300 };
     const order = [lessUrgent, late, later, earlier].sort((a, b) =>
       compareWaitingRequests(a, b, 200),
     );
@@ -55,12 +55,12 @@
     fc.assert(
       fc.property(times, fc.integer({ min: 1, max: 50 }), (runMs, position) => {
         const estimate = estimateOf(runMs);
-        const capacity = { slots: 4, sharers: 1 };
+        const capacity = { slots: 4, entryCount: 1 };
         return (
           estimate.waitMs(position + 1, capacity) > estimate.waitMs(position, capacity) &&
-          estimate.waitMs(position, { slots: 4, sharers: 5 }) >
+          estimate.waitMs(position, { slots: 4, entryCount: 5 }) >
             estimate.waitMs(position, capacity) &&
-          estimate.waitMs(position, { slots: 400, sharers: 1 }) <
+          estimate.waitMs(position, { slots: 400, entryCount: 1 }) <
             estimate.waitMs(position, capacity)
         );
       }),
@@ -70,43 +70,43 @@
 
   test(title('the wait at the first position does not depend on the number of entries'), (t) => {
     fc.assert(
-      fc.property(times, fc.integer({ min: 1, max: 60 }), (runMs, sharers) => {
+      fc.property(times, fc.integer({ min: 1, max: 60 }), (runMs, entryCount) => {
         const estimate = estimateOf(runMs);
-        return estimate.waitMs(0, { slots: 16, sharers }) === runMs / 16;
+        return estimate.waitMs(0, { slots: 16, entryCount }) === runMs / 16;
       }),
     );
     // Callers wait for 1 s, a run takes 600 ms and 13 entries share 16 slots.
-    const request: WaitingRequest = { rank: 0, onTimeUntilMs: 300, deadlineMs: 1000 };
-    t.false(estimateOf(600).isHopeless(request, 0, { slots: 16, sharers: 13 }, 0));
+    const request: WaitingRequest = { rank: 0, targetDeadlineMs: 300, deadlineMs: 1000 };
+    t.false(estimateOf(600).willMissDeadline(request, 0, { slots: 16, entryCount: 13 }, 0));
   });
 
   test(title('rejects requests that cannot end before their deadline, at any run time'), (t) => {
     for (const runMs of [5, 600, 45_000]) {
       const estimate = estimateOf(runMs);
-      const capacity = { slots: 10, sharers: 2 };
-      const request: WaitingRequest = { rank: 0, onTimeUntilMs: 0, deadlineMs: 3 * runMs };
-      t.false(estimate.isHopeless(request, 0, capacity, 0));
-      t.false(estimate.isHopeless(request, 8, capacity, 0));
-      t.true(estimate.isHopeless(request, 10, capacity, 0));
-      t.true(estimate.isHopeless(request, 0, capacity, 2 * runMs));
+      const capacity = { slots: 10, entryCount: 2 };
+      const request: WaitingRequest = { rank: 0, targetDeadlineMs: 0, deadlineMs: 3 * runMs };
+      t.false(estimate.willMissDeadline(request, 0, capacity, 0));
+      t.false(estimate.willMissDeadline(request, 8, capacity, 0));
+      t.true(estimate.willMissDeadline(request, 10, capacity, 0));
+      t.true(estimate.willMissDeadline(request, 0, capacity, 2 * runMs));
     }
   });
 
   test(title('the wait is infinite without slots'), (t) => {
-    t.is(estimateOf(1).waitMs(0, { slots: 0, sharers: 1 }), Infinity);
+    t.is(estimateOf(1).waitMs(0, { slots: 0, entryCount: 1 }), Infinity);
   });
 });
 
 describe('CallerTimeLimits', () => {
   test(title('distinguishes retries from first attempts, some of which wait much longer'), (t) => {
     const timeLimits = new CallerTimeLimits();
-    t.is(timeLimits.ageMs(700), 0);
+    t.is(timeLimits.sinceFirstAttemptMs(700), 0);
     for (let index = 0; index < 50; index += 1) {
-      timeLimits.note(index % 20 === 0 ? 60_000 : 2000);
-      if (index % 5 === 0) timeLimits.note(1400);
+      timeLimits.record(index % 20 === 0 ? 60_000 : 2000);
+      if (index % 5 === 0) timeLimits.record(1400);
     }
-    t.is(timeLimits.ageMs(1400), 600);
-    t.is(timeLimits.ageMs(2000), 0);
-    t.is(timeLimits.ageMs(60_000), 0);
+    t.is(timeLimits.sinceFirstAttemptMs(1400), 600);
+    t.is(timeLimits.sinceFirstAttemptMs(2000), 0);
+    t.is(timeLimits.sinceFirstAttemptMs(60_000), 0);
   });
 });
--- a/packages/admission/src/wait-estimate.ts
+++ b/packages/admission/src/wait-estimate.ts
@@ -8,11 +8,11 @@
   /** 0 is the most urgent. */
   readonly rank: number;
   /** Time at which the target expires, counted from the caller's first attempt. */
-  readonly onTimeUntilMs: number;
+  readonly targetDeadlineMs: number;
   /** Time until which the caller waits for the complete response. */
   readonly deadlineMs: number;
   /** Time by which the response has to begin, if the caller would disconnect otherwise. */
-  readonly beginByMs?: number;
+  readonly firstEventDeadlineMs?: number;
   /** Time from which a late request goes first, since it would soon miss its deadline. */
   readonly urgentFromMs?: number;
 }
@@ -27,7 +27,7 @@
 
 /** Returns the timeliness of a request at `nowMs`. */
 export function timelinessOf(request: WaitingRequest, nowMs: number): Timeliness {
-  if (request.onTimeUntilMs > nowMs) return 'on time';
+  if (request.targetDeadlineMs > nowMs) return 'on time';
   return (request.urgentFromMs ?? Infinity) <= nowMs ? 'urgent' : 'late';
 }
 
@@ -36,7 +36,7 @@
   /** Requests that all endpoints of the service run at once. */
   readonly slots: number;
   /** Entries that send to these endpoints, this one included. */
-  readonly sharers: number;
+  readonly entryCount: number;
 }
 
 /** Weight of the newest sample in the moving averages. */
@@ -75,13 +75,13 @@
   const timeliness = timelinessOf(a, nowMs);
   const other = timelinessOf(b, nowMs);
   if (timeliness !== other) return TIMELINESS_ORDER[timeliness] - TIMELINESS_ORDER[other];
-  if (timeliness === 'on time') return a.onTimeUntilMs - b.onTimeUntilMs;
+  if (timeliness === 'on time') return a.targetDeadlineMs - b.targetDeadlineMs;
   return expiryMs(a) - expiryMs(b);
 }
 
 /** Returns the time from which a response is of no use to the caller. */
-function expiryMs({ deadlineMs, beginByMs = Infinity }: WaitingRequest): number {
-  return Math.min(deadlineMs, beginByMs);
+function expiryMs({ deadlineMs, firstEventDeadlineMs = Infinity }: WaitingRequest): number {
+  return Math.min(deadlineMs, firstEventDeadlineMs);
 }
 
 /** Estimates queue waits from the run times and arrivals of one service. */
@@ -92,19 +92,19 @@
   private arrivedAtMs = 0;
 
   /** Records the time for which an endpoint ran a completed request. */
-  completed(runMs: number): void {
+  recordRun(runMs: number): void {
     this.smoothedRunMs ??= runMs;
     this.smoothedRunMs += SMOOTHING * (runMs - this.smoothedRunMs);
   }
 
   /** Records the arrival of a request. */
-  arrived(nowMs: number): void {
+  recordArrival(nowMs: number): void {
     this.arrivals = this.decayedArrivals(nowMs) + 1;
     this.arrivedAtMs = nowMs;
   }
 
   /** Returns the slots that new requests will occupy if the recent arrival rate continues. */
-  slotsForNew(nowMs: number): number {
+  slotsForNewRequests(nowMs: number): number {
     const runMs = this.smoothedRunMs ?? INITIAL_RUN_MS;
     return (this.decayedArrivals(nowMs) * runMs) / ARRIVAL_DECAY_MS;
   }
@@ -114,12 +114,12 @@
   }
 
   /** Records the time from sending a request to the first event of its response. */
-  answered(firstEventMs: number): void {
+  recordFirstEvent(firstEventMs: number): void {
     this.smoothedFirstEventMs += SMOOTHING * (firstEventMs - this.smoothedFirstEventMs);
   }
 
   /** Average time from sending a request to its first event; 0 before the first sample. */
-  get leadMs(): number {
+  get firstEventMs(): number {
     return this.smoothedFirstEventMs;
   }
 
@@ -135,20 +135,20 @@
    * with 13 entries on 16 slots and runs of half a second, all requests of a route whose callers
    * wait for one second would be refused.
    */
-  waitMs(position: number, { slots, sharers }: WaitingCapacity): number {
+  waitMs(position: number, { slots, entryCount }: WaitingCapacity): number {
     if (slots === 0) return Infinity;
-    return ((position * Math.max(1, sharers) + 1) * this.runMs) / slots;
+    return ((position * Math.max(1, entryCount) + 1) * this.runMs) / slots;
   }
 
   /** Whether a request at a queue position cannot be served before its caller stops waiting. */
-  isHopeless(
+  willMissDeadline(
     request: WaitingRequest,
     position: number,
     capacity: WaitingCapacity,
     nowMs: number,
   ): boolean {
     const sentAtMs = nowMs + this.waitMs(position, capacity);
-    if (sentAtMs + this.leadMs > (request.beginByMs ?? Infinity)) return true;
+    if (sentAtMs + this.firstEventMs > (request.firstEventDeadlineMs ?? Infinity)) return true;
     return sentAtMs + this.runMs > request.deadlineMs;
   }
 
@@ -157,20 +157,20 @@
    * expiry in the slots for late requests. If it is refused at once, its caller can retry after the
    * peak.
    */
-  isBeyondLate(
+  hasTooManyLateAhead(
     request: WaitingRequest,
     lateAhead: number,
-    { slots, sharers }: WaitingCapacity,
+    { slots, entryCount }: WaitingCapacity,
     nowMs: number,
   ): boolean {
     if (slots === 0) return false;
-    const perRequestMs = (this.runMs * Math.max(1, sharers)) / (slots * LATE_SLOT_SHARE);
+    const perRequestMs = (this.runMs * Math.max(1, entryCount)) / (slots * LATE_SLOT_SHARE);
     return nowMs + (lateAhead + 1) * perRequestMs > expiryMs(request);
   }
 
   /** Returns the time from which a late request is urgent. */
-  urgentFromMs({ deadlineMs, beginByMs = Infinity }: WaitingRequest): number {
+  urgentFromMs({ deadlineMs, firstEventDeadlineMs = Infinity }: WaitingRequest): number {
     const marginMs = Math.max(MIN_URGENT_MARGIN_MS, URGENT_MARGIN_RUN_SHARE * this.runMs);
-    return Math.min(deadlineMs - this.runMs, beginByMs - this.leadMs) - marginMs;
+    return Math.min(deadlineMs - this.runMs, firstEventDeadlineMs - this.firstEventMs) - marginMs;
   }
 }
--- a/packages/client/src/http-exchange.ts
+++ b/packages/client/src/http-exchange.ts
@@ -5,7 +5,7 @@
 import type { Dispatcher } from 'undici';
 import { ShedlineError, errorFromBody, provesNotSent } from '@shedline/errors';
 import type { ErrorBody } from '@shedline/errors';
-import type { Ran } from '@shedline/types';
+import type { ExecutionStatus } from '@shedline/types';
 
 /** Options of {@link exchange}. */
 export interface ExchangeOptions {
@@ -49,7 +49,7 @@
 /** Creates the error for a connection error; `ran` is 'no' if the request was provably not sent. */
 export function createConnectionError(error: unknown, options: ExchangeOptions): ShedlineError {
   const code = (error as { code?: string }).code ?? '';
-  const ran: Ran = provesNotSent(error) ? 'no' : 'unknown';
+  const ran: ExecutionStatus = provesNotSent(error) ? 'no' : 'unknown';
   const reason = error instanceof Error ? error.message : String(error);
   return new ShedlineError({
     type: 'unavailable',
--- a/packages/consensus/src/consensus.ts
+++ b/packages/consensus/src/consensus.ts
@@ -197,7 +197,7 @@
    * followers, for other members the last message of the leader. The committed state of this
    * member is at most that old, except for entries that are still being replicated.
    */
-  contactAgeMs(nowMs: number): number {
+  quorumContactAgeMs(nowMs: number): number {
     if (this.currentRole !== 'leader') return nowMs - this.lastLeaderContactMs;
     return nowMs - this.quorumValue((progress) => progress.lastContactMs, nowMs);
   }
--- a/packages/consensus/src/contact-age.test.ts
+++ b/packages/consensus/src/contact-age.test.ts
@@ -14,14 +14,14 @@
   });
 }
 
-describe('contactAgeMs', () => {
+describe('quorumContactAgeMs', () => {
   test(title('of a follower is the time since the last message of its leader'), (t) => {
     const follower = member(VOTERS);
-    t.is(follower.contactAgeMs(100), Infinity);
+    t.is(follower.quorumContactAgeMs(100), Infinity);
     const heartbeat = { type: 'heartbeat', from: 'b#1', to: 'a#1', term: 1 } as const;
     follower.receive({ ...heartbeat, commitIndex: 0, round: 1 }, 200);
-    t.is(follower.contactAgeMs(250), 50);
-    t.is(follower.contactAgeMs(5000), 4800);
+    t.is(follower.quorumContactAgeMs(250), 50);
+    t.is(follower.quorumContactAgeMs(5000), 4800);
   });
 
   test(title('of a leader is the time since a quorum was last in contact'), (t) => {
@@ -31,8 +31,8 @@
     leader.receive({ type: 'voteReply', from: 'b#1', to: 'a#1', term: 1, granted: true }, 620);
     t.is(leader.role, 'leader');
     leader.receive({ type: 'heartbeatReply', from: 'b#1', to: 'a#1', term: 1, round: 1 }, 700);
-    t.is(leader.contactAgeMs(900), 200, 'one of the two followers completes the quorum');
+    t.is(leader.quorumContactAgeMs(900), 200, 'one of the two followers completes the quorum');
     const alone = member(['a#1']);
-    t.is(alone.contactAgeMs(5000), 0);
+    t.is(alone.quorumContactAgeMs(5000), 0);
   });
 });
--- a/packages/consensus/src/fake-group.ts
+++ b/packages/consensus/src/fake-group.ts
@@ -224,7 +224,7 @@
         memberId,
         {
           memberId,
-          silentMs: progress.lastContactAgoMs,
+          lastContactAgoMs: progress.lastContactAgoMs,
           lagEntries: leader.core.commitIndex - progress.matchIndex,
         },
       ]),
--- a/packages/consensus/src/membership-planner.ts
+++ b/packages/consensus/src/membership-planner.ts
@@ -7,7 +7,7 @@
 export interface MemberStatus {
   readonly memberId: string;
   /** Time since the last message from the member. */
-  readonly silentMs: number;
+  readonly lastContactAgoMs: number;
   /** Number of committed entries that the member lacks. */
   readonly lagEntries: number;
 }
@@ -61,7 +61,7 @@
   if (isSuperseded(options, memberId)) return true;
   if (options.retiringIds?.has(memberId) === true) return true;
   const status = options.members.get(memberId);
-  return status !== undefined && status.silentMs >= options.replaceAfterMs;
+  return status !== undefined && status.lastContactAgoMs >= options.replaceAfterMs;
 }
 
 /** Whether the instance is running under another incarnation: the old disk was lost. */
--- a/packages/control-client/src/control-client.ts
+++ b/packages/control-client/src/control-client.ts
@@ -8,7 +8,7 @@
 import type {
   EditAnswer,
   EntryStatus,
-  InForceReport,
+  RevisionReport,
   TableCommand,
   TableDelta,
 } from '@shedline/table';
@@ -104,8 +104,8 @@
   }
 
   /** Returns at which entries a revision of the table is in force. */
-  inForce(revision: number): Promise<InForceReport> {
-    return this.query(TABLE_GROUP, { type: 'inForce', revision }) as Promise<InForceReport>;
+  inForce(revision: number): Promise<RevisionReport> {
+    return this.query(TABLE_GROUP, { type: 'inForce', revision }) as Promise<RevisionReport>;
   }
 
   /** Returns all stored orders. */
--- a/packages/control-client/src/protocol.ts
+++ b/packages/control-client/src/protocol.ts
@@ -7,7 +7,7 @@
 import type {
   EditAnswer,
   EntryStatus,
-  InForceReport,
+  RevisionReport,
   TableCommand,
   TableDelta,
 } from '@shedline/table';
@@ -88,7 +88,7 @@
 
 export type {
   EditAnswer,
-  InForceReport,
+  RevisionReport,
   JobGroupAnswer,
   JobView,
   Order,
--- a/packages/control/src/control-node.ts
+++ b/packages/control/src/control-node.ts
@@ -155,6 +155,6 @@
 
   private async onRequest(method: string, payload: unknown): Promise<unknown> {
     if (method === 'status') return this.status();
-    return (await this.groups.answer(method, payload)) ?? this.requests.handle(method, payload);
+    return (await this.groups.handle(method, payload)) ?? this.requests.handle(method, payload);
   }
 }
--- a/packages/control/src/control.test.ts
+++ b/packages/control/src/control.test.ts
@@ -62,7 +62,10 @@
     ]);
     const statuses = memberStatuses(progress, 8, (memberId) => lastSeenAgoMs.get(memberId) ?? 0);
     t.deepEqual(
-      [...statuses.values()].map(({ silentMs, lagEntries }) => [silentMs, lagEntries]),
+      [...statuses.values()].map(({ lastContactAgoMs, lagEntries }) => [
+        lastContactAgoMs,
+        lagEntries,
+      ]),
       [
         [6000, 3],
         [9000, 3],
--- a/packages/control/src/group-host.ts
+++ b/packages/control/src/group-host.ts
@@ -33,7 +33,7 @@
   readonly snapshotAfterBytes: number;
   readonly send: (group: number, message: ConsensusMessage) => void;
   readonly offerSnapshot: (group: number, memberId: string) => void;
-  readonly onRoleChange: (host: GroupHost, isLeading: boolean) => void;
+  readonly onRoleChange: (host: GroupHost, isLeader: boolean) => void;
 }
 
 interface PendingProposal {
@@ -63,7 +63,7 @@
   private isPumping = false;
   private isTakingSnapshot = false;
   private isClosed = false;
-  private leading = false;
+  private isReportedLeader = false;
   private bytesSinceSnapshot = 0;
   private snapshotIndex: number;
   private nextReadId = 1;
@@ -86,8 +86,8 @@
   }
 
   /** Whether this member is leader, as last reported through `onRoleChange`. */
-  get isLeading(): boolean {
-    return this.leading;
+  get isLeader(): boolean {
+    return this.isReportedLeader;
   }
 
   /** Advances the time of the consensus member. */
@@ -248,11 +248,11 @@
   }
 
   private updateRole(): void {
-    const isLeading = this.consensus.role === 'leader';
-    if (isLeading === this.leading) return;
-    this.leading = isLeading;
-    if (!isLeading) this.rejectAll('the leadership changed');
-    this.options.onRoleChange(this, isLeading);
+    const isLeader = this.consensus.role === 'leader';
+    if (isLeader === this.isReportedLeader) return;
+    this.isReportedLeader = isLeader;
+    if (!isLeader) this.rejectAll('the leadership changed');
+    this.options.onRoleChange(this, isLeader);
   }
 
   private applyAll(entries: readonly LogEntry[]): void {
--- a/packages/control/src/group-node.ts
+++ b/packages/control/src/group-node.ts
@@ -226,8 +226,8 @@
   }
 
   /** Returns the groups that this process leads. */
-  leading(): GroupHost[] {
-    return [...this.hosts.values()].filter((host) => host.isLeading);
+  ledGroups(): GroupHost[] {
+    return [...this.hosts.values()].filter((host) => host.isLeader);
   }
 
   /** Returns the item files of a group; creates their folder if needed. */
@@ -270,7 +270,7 @@
   }
 
   /** Handles a request of a peer; returns undefined if the method does not concern groups. */
-  answer(method: string, payload: unknown): Promise<unknown> | undefined {
+  handle(method: string, payload: unknown): Promise<unknown> | undefined {
     if (method === 'hello') return Promise.resolve(this.hello());
     if (method === 'manifest') {
       return this.hosts.get((payload as { group: number }).group)?.manifest();
@@ -355,8 +355,8 @@
       offerSnapshot: (from, memberId) => {
         this.snapshots.offer(from, memberId, this.ownMemberId);
       },
-      onRoleChange: (changed, isLeading) => {
-        this.onRoleChange(changed, isLeading);
+      onRoleChange: (changed, isLeader) => {
+        this.onRoleChange(changed, isLeader);
       },
     });
     this.hosts.set(group, host);
@@ -374,10 +374,10 @@
       this.runLeaderTasks();
     });
     this.every(HOUSEKEEP_INTERVAL_MS, () => {
-      for (const host of this.leading()) this.options.role.housekeep(host);
+      for (const host of this.ledGroups()) this.options.role.housekeep(host);
     });
     this.every(LEADER_BALANCE_INTERVAL_MS, () => {
-      for (const host of this.leading())
+      for (const host of this.ledGroups())
         transferToPreferredLeader(this.membershipOptionsOf(host), this.options.nowMs());
     });
     this.announcePresence();
@@ -403,7 +403,7 @@
 
   private runLeaderTasks(): void {
     const nowMs = this.options.nowMs();
-    for (const host of this.leading()) {
+    for (const host of this.ledGroups()) {
       const membershipOptions = this.membershipOptionsOf(host);
       repairMembers(membershipOptions);
       // A leader never removes itself, so another member has to lead.
@@ -435,17 +435,17 @@
 
   private async transferLeaderships(): Promise<void> {
     const { nowMs } = this.options;
-    const transferable = this.leading().filter((host) => host.consensus.config.voters.length > 1);
+    const transferable = this.ledGroups().filter((host) => host.consensus.config.voters.length > 1);
     for (const host of transferable) host.transferLeadership(nowMs());
     const deadlineMs = nowMs() + MAX_TRANSFER_WAIT_MS;
-    while (transferable.some((host) => host.isLeading) && nowMs() < deadlineMs) {
+    while (transferable.some((host) => host.isLeader) && nowMs() < deadlineMs) {
       await pause(TICK_MS);
     }
   }
 
-  private onRoleChange(host: GroupHost, isLeading: boolean): void {
+  private onRoleChange(host: GroupHost, isLeader: boolean): void {
     const { group, consensus } = host;
-    this.options.logger.info(isLeading ? 'leads group' : 'lost leadership of group', {
+    this.options.logger.info(isLeader ? 'leads group' : 'lost leadership of group', {
       group,
       term: consensus.currentTerm,
       step: 'election',
--- a/packages/control/src/job-leader-tasks.ts
+++ b/packages/control/src/job-leader-tasks.ts
@@ -36,7 +36,7 @@
       const command = { type: 'expireLeases', atMs: Date.now(), leaseIds };
       this.options.inBackground(host.propose(command));
     }
-    const endedCount = machine.jobs.endedSinceStart;
+    const endedCount = machine.jobs.resultsSinceStart;
     const endedSinceLastCall = endedCount - (this.lastEndedCounts.get(host.group) ?? endedCount);
     this.lastEndedCounts.set(host.group, endedCount);
     const rate = endedSinceLastCall / (intervalMs / 1000);
--- a/packages/control/src/membership-tasks.ts
+++ b/packages/control/src/membership-tasks.ts
@@ -44,7 +44,7 @@
   for (const [memberId, { matchIndex, lastContactAgoMs }] of progress) {
     statuses.set(memberId, {
       memberId,
-      silentMs: Math.max(lastContactAgoMs, lastSeenAgoMs(memberId)),
+      lastContactAgoMs: Math.max(lastContactAgoMs, lastSeenAgoMs(memberId)),
       lagEntries: commitIndex - matchIndex,
     });
   }
--- a/packages/control/src/partition.test.ts
+++ b/packages/control/src/partition.test.ts
@@ -7,7 +7,7 @@
 import { ControlClient } from '@shedline/control-client';
 import type { ControlPort } from '@shedline/control-client';
 import { createLogger } from '@shedline/logger';
-import { CuttableRelay, describe, freePorts, title } from '@shedline/test-utils';
+import { PartitionRelay, describe, freePorts, title } from '@shedline/test-utils';
 import { ControlNode } from './control-node.js';
 
 const NAMES = ['a', 'b', 'c'];
@@ -16,7 +16,7 @@
 /** Three control nodes that can be partitioned from each other. */
 class ThreeNodeCluster {
   readonly nodes = new Map<string, ControlNode>();
-  private readonly relays = new Map<string, CuttableRelay>();
+  private readonly relays = new Map<string, PartitionRelay>();
   private folder = '';
 
   async start(): Promise<void> {
@@ -25,7 +25,7 @@
     for (const from of NAMES) {
       for (const [index, to] of NAMES.entries()) {
         if (from !== to)
-          this.relays.set(`${from}>${to}`, await CuttableRelay.start(() => ports[index] ?? 0));
+          this.relays.set(`${from}>${to}`, await PartitionRelay.start(() => ports[index] ?? 0));
       }
     }
     ports = await freePorts(NAMES.length);
@@ -55,7 +55,7 @@
   /** Partitions a node from the majorityClient without closing connections, or reconnects it. */
   setPartitioned(name: string, isPartitioned: boolean): void {
     for (const [link, relay] of this.relays) {
-      if (link.split('>').includes(name)) relay.cut(isPartitioned);
+      if (link.split('>').includes(name)) relay.setPartitioned(isPartitioned);
     }
   }
 
--- a/packages/control/src/table-leader-tasks.ts
+++ b/packages/control/src/table-leader-tasks.ts
@@ -7,7 +7,7 @@
 import type { OrderAnswer, OrderCommand } from '@shedline/fencing';
 import type { Logger } from '@shedline/logger';
 import { RevisionTracker } from '@shedline/table';
-import type { EntryStatus, InForceReport } from '@shedline/table';
+import type { EntryStatus, RevisionReport } from '@shedline/table';
 import { sampleEntries } from '@shedline/routing';
 import type { GroupHost } from './group-host.js';
 import { OrderRunner } from './order-runner.js';
@@ -49,7 +49,7 @@
     this.revisions.reset(this.options.nowMs());
     this.gate.lost();
     this.orderRunner = undefined;
-    if (host.isLeading) this.options.inBackground(this.claimOrders(host, machine, memberId));
+    if (host.isLeader) this.options.inBackground(this.claimOrders(host, machine, memberId));
   }
 
   /** Records the status of an entry; returns a sample of the entries whose lease is valid. */
@@ -61,7 +61,7 @@
   }
 
   /** Returns which entries have applied a revision. */
-  report(revision: number): InForceReport {
+  report(revision: number): RevisionReport {
     return this.revisions.report(revision, this.options.nowMs());
   }
 
@@ -69,7 +69,7 @@
     const { control, logger, nowMs } = this.options;
     const command: OrderCommand = { type: 'claimOrders', holder };
     const answer = (await host.propose(command)) as OrderAnswer;
-    if (!host.isLeading) return;
+    if (!host.isLeader) return;
     this.gate.acquired(answer.fencingNumber, nowMs());
     this.orderRunner = new OrderRunner({
       gate: this.gate,
--- a/packages/directory/src/directory.test.ts
+++ b/packages/directory/src/directory.test.ts
@@ -2,7 +2,7 @@
 import fc from 'fast-check';
 import { describe, seededRandom, title } from '@shedline/test-utils';
 import type { Announcement } from '@shedline/types';
-import { cellOfEndpoint, planCells } from './observer-sets.js';
+import { observerSetOfEndpoint, planObserverSets } from './observer-sets.js';
 import { EndpointDirectory } from './endpoint-directory.js';
 import { EntryMembership } from './entry-membership.js';
 import type { OutgoingMessage } from './entry-membership.js';
@@ -95,7 +95,7 @@
     t.false(directory.isUsable('e1', 0));
     directory.sent('e1');
     t.false(directory.isUsable('e1', 1100));
-    directory.answers('e1');
+    directory.responseStarted('e1');
     t.true(directory.isUsable('e1', 1100));
   });
 
@@ -212,16 +212,16 @@
   test(
     title('a small fleet is one set; a large fleet has sets of bounded size within one zone'),
     (t) => {
-      t.is(planCells(entries(12), 12).size, 1);
-      const sets = planCells(entries(360), 12);
+      t.is(planObserverSets(entries(12), 12).size, 1);
+      const sets = planObserverSets(entries(360), 12);
       t.is([...sets.values()].flat().length, 360);
       for (const [id, members] of sets) {
         t.true(members.length <= 12);
         for (const member of members)
           t.is(`z${Number(member.slice(1)) % 3}`, id.split('/')[0] ?? '');
       }
-      t.true(cellOfEndpoint(sets, 'engine-5', 'z2').startsWith('z2/'));
-      t.not(cellOfEndpoint(sets, 'engine-5', 'elsewhere'), '');
+      t.true(observerSetOfEndpoint(sets, 'engine-5', 'z2').startsWith('z2/'));
+      t.not(observerSetOfEndpoint(sets, 'engine-5', 'elsewhere'), '');
     },
   );
 });
--- a/packages/directory/src/endpoint-directory.ts
+++ b/packages/directory/src/endpoint-directory.ts
@@ -112,7 +112,7 @@
    * Applies a heartbeat, which carries only the fields that change. Returns false if a newer
    * announcement, or not this incarnation, is known.
    */
-  beat(heartbeat: Heartbeat, ageMs: number, nowMs: number): boolean {
+  applyHeartbeat(heartbeat: Heartbeat, ageMs: number, nowMs: number): boolean {
     const known = this.records.get(heartbeat.endpointId)?.announcement;
     if (known?.incarnation !== heartbeat.incarnation) return false;
     const load = {
@@ -149,7 +149,11 @@
   }
 
   /** Returns an endpoint if it may receive new requests for a plain service. */
-  oneForService(endpointId: string, service: string, nowMs: number): KnownEndpoint | undefined {
+  endpointForService(
+    endpointId: string,
+    service: string,
+    nowMs: number,
+  ): KnownEndpoint | undefined {
     const record = this.records.get(endpointId);
     if (record?.announcement.services.includes(service) !== true) return undefined;
     return this.hasLease(record, nowMs) && this.isAdmitted(record, nowMs) ? record : undefined;
@@ -215,7 +219,7 @@
   }
 
   /** Records that a response has begun; other requests need not wait until a probe completes. */
-  answers(endpointId: string): void {
+  responseStarted(endpointId: string): void {
     this.inconclusive(endpointId);
   }
 
@@ -226,12 +230,12 @@
   }
 
   /** Removes an endpoint that is known to have stopped. */
-  forget(endpointId: string): void {
+  remove(endpointId: string): void {
     this.records.delete(endpointId);
   }
 
   /** Removes endpoints that have not been announced for a long time. */
-  forgetSilent(nowMs: number): void {
+  forgetExpired(nowMs: number): void {
     for (const [endpointId, record] of this.records) {
       if (this.ageMs(record, nowMs) > REMOVE_AFTER_MS) this.records.delete(endpointId);
     }
--- a/packages/directory/src/lease-clock.test.ts
+++ b/packages/directory/src/lease-clock.test.ts
@@ -7,7 +7,7 @@
 const LONGEST_MS = 15_000;
 
 function clock(): LeaseClock {
-  return new LeaseClock({ usualSilenceMs: USUAL_MS, longestSilenceMs: LONGEST_MS });
+  return new LeaseClock({ pauseAfterMs: USUAL_MS, resumeAfterMs: LONGEST_MS });
 }
 
 describe('LeaseClock', () => {
@@ -19,7 +19,7 @@
         let nowMs = 5000;
         for (const gapMs of gapsMs) {
           nowMs += gapMs;
-          leaseClock.heard(nowMs);
+          leaseClock.messageReceived(nowMs);
         }
         t.is(leaseClock.at(nowMs), nowMs);
       }),
@@ -37,7 +37,7 @@
         let readingMs = leaseClock.at(nowMs);
         for (const { elapsedMs, isReceived } of sequence) {
           nowMs += elapsedMs;
-          if (isReceived) leaseClock.heard(nowMs);
+          if (isReceived) leaseClock.messageReceived(nowMs);
           const nextMs = leaseClock.at(nowMs);
           t.true(nextMs >= readingMs && nextMs - readingMs <= elapsedMs);
           readingMs = nextMs;
@@ -48,7 +48,7 @@
 
   test(title('pauses while nothing is received, and resumes after the longest pause'), (t) => {
     const leaseClock = clock();
-    leaseClock.heard(0);
+    leaseClock.messageReceived(0);
     t.is(leaseClock.at(USUAL_MS), USUAL_MS);
     t.is(leaseClock.at(LONGEST_MS), USUAL_MS);
     t.is(leaseClock.at(LONGEST_MS + 100), USUAL_MS + 100);
--- a/packages/directory/src/lease-clock.ts
+++ b/packages/directory/src/lease-clock.ts
@@ -6,12 +6,12 @@
 /** Options of {@link LeaseClock}. */
 export interface LeaseClockOptions {
   /** Time without a message from the third party after which the clock pauses. */
-  readonly usualSilenceMs: number;
+  readonly pauseAfterMs: number;
   /**
    * Time without a message after which the clock resumes: what is known of the holders is too old to
    * rely on by then.
    */
-  readonly longestSilenceMs: number;
+  readonly resumeAfterMs: number;
 }
 
 /** A clock that pauses while nothing is received from the third party. */
@@ -26,7 +26,7 @@
   }
 
   /** Records a message of the third party, also one without changes. */
-  heard(nowMs: number): void {
+  messageReceived(nowMs: number): void {
     this.readingMs = this.at(nowMs);
     this.lastReceivedAtMs = nowMs;
   }
@@ -34,9 +34,9 @@
   /** Returns the reading of this clock at a time of the steady clock. */
   at(nowMs: number): number {
     if (this.lastReceivedAtMs === undefined) return nowMs;
-    const { usualSilenceMs, longestSilenceMs } = this.options;
+    const { pauseAfterMs, resumeAfterMs } = this.options;
     const sinceLastMs = nowMs - this.lastReceivedAtMs;
-    const afterResumeMs = Math.max(0, sinceLastMs - longestSilenceMs);
-    return this.readingMs + Math.min(sinceLastMs, usualSilenceMs) + afterResumeMs;
+    const afterResumeMs = Math.max(0, sinceLastMs - resumeAfterMs);
+    return this.readingMs + Math.min(sinceLastMs, pauseAfterMs) + afterResumeMs;
   }
 }
--- a/packages/directory/src/observer-sets.ts
+++ b/packages/directory/src/observer-sets.ts
@@ -12,13 +12,13 @@
 }
 
 /** Observer sets by id; each is a sorted list of entry names. */
-export type Cells = ReadonlyMap<string, readonly string[]>;
+export type ObserverSets = ReadonlyMap<string, readonly string[]>;
 
 /**
  * Splits the configured entries into observer sets of at most `setSize` entries. Entries that fit
  * into one set form one set; otherwise no set spans availability zones.
  */
-export function planCells(entries: readonly ZonedEntry[], setSize: number): Cells {
+export function planObserverSets(entries: readonly ZonedEntry[], setSize: number): ObserverSets {
   const names = entries.map((entry) => entry.name).sort();
   if (names.length <= setSize) return new Map([['all', names]]);
   const zones = [...new Set(entries.map((entry) => entry.availabilityZone))].sort();
@@ -36,7 +36,7 @@
 }
 
 /** Returns the id of the observer set of an entry, or an empty string if it has none. */
-export function cellOf(sets: Cells, entry: string): string {
+export function observerSetOf(sets: ObserverSets, entry: string): string {
   for (const [id, members] of sets) {
     if (members.includes(entry)) return id;
   }
@@ -47,7 +47,11 @@
  * Returns the id of the set that observes an endpoint: a set of its own availability zone if there
  * is any, or else one of all sets.
  */
-export function cellOfEndpoint(sets: Cells, endpointId: string, availabilityZone: string): string {
+export function observerSetOfEndpoint(
+  sets: ObserverSets,
+  endpointId: string,
+  availabilityZone: string,
+): string {
   const all = [...sets.keys()];
   const inZone = all.filter((id) => id.startsWith(`${availabilityZone}/`));
   const candidates = inZone.length > 0 ? inZone : all;
--- a/packages/entry/src/admission-controller.ts
+++ b/packages/entry/src/admission-controller.ts
@@ -65,19 +65,19 @@
       });
     }
     const gate = this.gateOf(row);
-    const pressure = this.fleet.pressure(row, nowMs);
+    const pressure = this.fleet.loadAndCapacityOf(row, nowMs);
     const gateDecision = gate.decide(
       { row: key, weight: row.weight, isOpenSession, ...pressure },
       nowMs,
     );
     if (!gateDecision.admitted) {
-      this.limits.finished(key);
+      this.limits.release(key);
       throw overloaded(key, gateDecision.retryAfterMs, pressure.capacity);
     }
-    this.budgetOf(key).requested();
+    this.budgetOf(key).recordRequest();
     return () => {
-      this.limits.finished(key);
-      gate.finished(key);
+      this.limits.release(key);
+      gate.release(key);
     };
   }
 
--- a/packages/entry/src/announcement-forwarder.ts
+++ b/packages/entry/src/announcement-forwarder.ts
@@ -2,8 +2,8 @@
  * Forwards announcements to the entries of the observer set of the endpoint: in full if something
  * has changed and periodically, otherwise as short heartbeats.
  */
-import { cellOf, cellOfEndpoint, planCells } from '@shedline/directory';
-import type { Cells, Heartbeat, ZonedEntry } from '@shedline/directory';
+import { observerSetOf, observerSetOfEndpoint, planObserverSets } from '@shedline/directory';
+import type { ObserverSets, Heartbeat, ZonedEntry } from '@shedline/directory';
 import type { Announcement } from '@shedline/types';
 
 /** Number of short heartbeats of an endpoint between two full announcements. */
@@ -34,15 +34,15 @@
 /** Collects announcements by the observer set that receives them. */
 export class AnnouncementForwarder {
   private readonly self: string;
-  private readonly observerSets: Cells;
+  private readonly observerSets: ObserverSets;
   private readonly ownObserverSet: string;
   private readonly pending = new Map<string, Map<string, PendingAnnouncement>>();
   private readonly lastSent = new Map<string, { stableFields: string; shortCount: number }>();
 
   constructor(options: AnnouncementForwarderOptions) {
     this.self = options.self;
-    this.observerSets = planCells(options.entries, options.observerSetSize);
-    this.ownObserverSet = cellOf(this.observerSets, options.self);
+    this.observerSets = planObserverSets(options.entries, options.observerSetSize);
+    this.ownObserverSet = observerSetOf(this.observerSets, options.self);
   }
 
   /** The entries that observe the same endpoints as this one, this one included. */
@@ -76,7 +76,7 @@
   }
 
   private observerSetFor({ endpointId, availabilityZone }: Announcement): string {
-    return cellOfEndpoint(this.observerSets, endpointId, availabilityZone);
+    return observerSetOfEndpoint(this.observerSets, endpointId, availabilityZone);
   }
 
   private isFullDue(announcement: Announcement): boolean {
--- a/packages/entry/src/batch-runner.ts
+++ b/packages/entry/src/batch-runner.ts
@@ -276,10 +276,10 @@
       tokens: 0,
     };
     this.streams.set(stream.streamId, stream);
-    fleet.loads.change(endpointId, 'batch', 1);
+    fleet.loads.recordChange(endpointId, 'batch', 1);
     void this.runStream(stream, endpoint).finally(() => {
       this.streams.delete(stream.streamId);
-      fleet.loads.change(endpointId, 'batch', -1);
+      fleet.loads.recordChange(endpointId, 'batch', -1);
     });
   }
 
--- a/packages/entry/src/entry-peers.ts
+++ b/packages/entry/src/entry-peers.ts
@@ -138,14 +138,16 @@
   receiveAnnouncement(announcement: Announcement): void {
     const nowMs = this.options.nowMs();
     const observes = this.forwarder.observes(announcement);
-    if (observes && !this.options.fleet.observe(announcement, 0, nowMs)) return;
+    if (observes && !this.options.fleet.applyAnnouncement(announcement, 0, nowMs)) return;
     this.forwarder.add(announcement, nowMs);
     if (announcement.leaving) this.sendAnnouncements();
   }
 
   /** Notifies the owner of the batch work on an endpoint that online work starts there. */
   notifyOnlineStart(owner: string, endpointId: string): void {
-    const counts = this.options.fleet.loads.own().find((own) => own.endpointId === endpointId);
+    const counts = this.options.fleet.loads
+      .ownCounts()
+      .find((own) => own.endpointId === endpointId);
     this.send(owner, 'yield', {
       endpointId,
       online: counts?.online ?? 1,
@@ -268,7 +270,7 @@
         online: number;
         batch: number;
       };
-      fleet.loads.peerCount(endpointId, peer, { online, batch }, nowMs);
+      fleet.loads.recordPeerCounts(endpointId, peer, { online, batch }, nowMs);
       onYield(endpointId);
     }
     if (method === 'sessions') {
@@ -282,7 +284,7 @@
     const nowMs = this.options.nowMs();
     if (method === 'quota') {
       const requests = payload as QuotaRequest[];
-      return Promise.resolve(requests.map((request) => this.quotaOwner.ask(request, nowMs)));
+      return Promise.resolve(requests.map((request) => this.quotaOwner.grant(request, nowMs)));
     }
     if (method === 'table') return Promise.resolve(this.options.tableForPeer(payload as number));
     if (method === 'endpoints') return Promise.resolve(this.knownEndpoints());
@@ -300,7 +302,7 @@
   private applyAnnouncements({ whole, short }: AnnouncementsMessage): void {
     const nowMs = this.options.nowMs();
     for (const [announcement, ageMs] of whole)
-      this.options.fleet.observe(announcement, ageMs, nowMs);
+      this.options.fleet.applyAnnouncement(announcement, ageMs, nowMs);
     for (const shortForm of short) {
       const { heartbeat, ageMs } = heartbeatOf(shortForm);
       this.options.fleet.applyHeartbeat(heartbeat, ageMs, nowMs);
@@ -318,7 +320,7 @@
 
   private applyCounts(counts: CountsMessage, peer: string, nowMs: number): void {
     for (const [endpointId, online, batch] of counts) {
-      this.options.fleet.loads.peerCount(endpointId, peer, { online, batch }, nowMs);
+      this.options.fleet.loads.recordPeerCounts(endpointId, peer, { online, batch }, nowMs);
     }
   }
 
@@ -338,7 +340,7 @@
     const changed: CountsMessage = [];
     const current = new Map<string, string>();
     const round = Math.floor(this.options.nowMs() / COUNTS_INTERVAL_MS);
-    for (const { endpointId, online, batch } of this.options.fleet.loads.own()) {
+    for (const { endpointId, online, batch } of this.options.fleet.loads.ownCounts()) {
       const text = `${online}|${batch}`;
       current.set(endpointId, text);
       const isRefresh = online + batch > 0 && round % 4 === 0;
@@ -359,20 +361,20 @@
     } finally {
       this.isRequestingQuota = false;
     }
-    this.quotaOwner.forgetIdle(this.options.nowMs());
+    this.quotaOwner.removeIdle(this.options.nowMs());
   }
 
   private async requestFromOwner(limits: RowLimits): Promise<void> {
     const requestedAtMs = this.options.nowMs();
     const preferred = rendezvousOrder('quota', this.liveEntries(), 1)[0] ?? this.self;
-    const owner = this.quotaHolder.ownerToAsk(preferred, requestedAtMs);
+    const owner = this.quotaHolder.selectOwner(preferred, requestedAtMs);
     if (owner === undefined) return;
     const requests = this.quotaRequestsFor(limits, requestedAtMs);
     const replies = await this.sendQuotaRequests(owner, requests, requestedAtMs);
     for (const [position, reply] of replies.entries()) {
       const request = requests[position];
       if (request !== undefined)
-        this.quotaHolder.answered(owner, request.row, reply, requestedAtMs);
+        this.quotaHolder.recordReply(owner, request.row, reply, requestedAtMs);
     }
   }
 
@@ -397,7 +399,8 @@
     requests: readonly QuotaRequest[],
     nowMs: number,
   ): Promise<QuotaAnswer[]> {
-    if (owner === this.self) return requests.map((request) => this.quotaOwner.ask(request, nowMs));
+    if (owner === this.self)
+      return requests.map((request) => this.quotaOwner.grant(request, nowMs));
     try {
       return ((await this.linkTo(owner)?.request('quota', requests, QUOTA_TIMEOUT_MS)) ??
         []) as QuotaAnswer[];
--- a/packages/entry/src/fleet-view.ts
+++ b/packages/entry/src/fleet-view.ts
@@ -5,7 +5,7 @@
 import { ConcurrencyLimit } from '@shedline/admission';
 import { EndpointDirectory } from '@shedline/directory';
 import type { Heartbeat, KnownEndpoint } from '@shedline/directory';
-import { CostRouting, LoadView, PrefixIndex, sessionHome } from '@shedline/routing';
+import { CostRouting, LoadView, PrefixIndex, firstSessionEndpoint } from '@shedline/routing';
 import type { Candidate, RoutingStrategy } from '@shedline/routing';
 import { TableView } from '@shedline/table';
 import type { Announcement, ServiceRow } from '@shedline/types';
@@ -47,20 +47,20 @@
   }
 
   /** Applies an announcement; returns false if a newer one is known. */
-  observe(announcement: Announcement, ageMs: number, nowMs: number): boolean {
+  applyAnnouncement(announcement: Announcement, ageMs: number, nowMs: number): boolean {
     if (!this.endpoints.observe(announcement, ageMs, nowMs)) return false;
     const { endpointId, load, cachedPrefixes } = announcement;
-    this.loads.report(endpointId, load.running + load.waiting, load.capacity, ageMs, nowMs);
-    if (cachedPrefixes !== undefined) this.prefixes.note(endpointId, cachedPrefixes);
+    this.loads.applyReport(endpointId, load.running + load.waiting, load.capacity, ageMs, nowMs);
+    if (cachedPrefixes !== undefined) this.prefixes.record(endpointId, cachedPrefixes);
     return true;
   }
 
   /** Applies a short heartbeat. */
   applyHeartbeat(heartbeat: Heartbeat, ageMs: number, nowMs: number): void {
-    if (!this.endpoints.beat(heartbeat, ageMs, nowMs)) return;
+    if (!this.endpoints.applyHeartbeat(heartbeat, ageMs, nowMs)) return;
     const { endpointId, running, waiting } = heartbeat;
     const capacity = this.loads.capacity(endpointId);
-    this.loads.report(endpointId, running + waiting, capacity, ageMs, nowMs);
+    this.loads.applyReport(endpointId, running + waiting, capacity, ageMs, nowMs);
   }
 
   /** Returns the endpoints to which new requests of a row may be sent. */
@@ -84,7 +84,7 @@
     );
     const chosen = this.strategy.choose({
       candidates: usable.map((endpoint) => this.candidateOf(endpoint, nowMs)),
-      heldBlocks: this.prefixes.matches(query.prefixes),
+      heldBlocks: this.prefixes.matchingBlocks(query.prefixes),
       promptBlocks: query.prefixes.length,
       availabilityZone: this.availabilityZone,
       ...this.sessionHint(query.sessionId, usable),
@@ -117,7 +117,7 @@
   }
 
   /** Returns the total online load and learned capacity of the endpoints of a row. */
-  pressure(row: ServiceRow, nowMs: number): { load: number; capacity: number } {
+  loadAndCapacityOf(row: ServiceRow, nowMs: number): { load: number; capacity: number } {
     let load = 0;
     let capacity = 0;
     for (const { announcement } of this.endpointsOf(row, nowMs)) {
@@ -154,12 +154,12 @@
 
   /** Removes endpoints from which nothing was received for long, with their learned state. */
   removeExpired(nowMs: number): void {
-    this.endpoints.forgetSilent(nowMs);
+    this.endpoints.forgetExpired(nowMs);
     for (const endpointId of this.limits.keys()) {
       if (this.endpoints.get(endpointId) !== undefined) continue;
       this.limits.delete(endpointId);
-      this.loads.forget(endpointId);
-      this.prefixes.forget(endpointId);
+      this.loads.remove(endpointId);
+      this.prefixes.removeEndpoint(endpointId);
     }
   }
 
@@ -182,7 +182,7 @@
     if (sessionId === undefined) return {};
     const ids = usable.map(({ announcement }) => announcement.endpointId);
     const lastEndpoint = this.sessionEndpoints.get(sessionId);
-    const preferred = lastEndpoint ?? sessionHome(sessionId, ids);
+    const preferred = lastEndpoint ?? firstSessionEndpoint(sessionId, ids);
     return preferred === undefined ? {} : { sessionEndpointId: preferred };
   }
 }
--- a/packages/entry/src/online-run.ts
+++ b/packages/entry/src/online-run.ts
@@ -2,7 +2,7 @@
  * Runs one online generation: chooses an endpoint, retries if permitted, and resumes an interrupted
  * response on another endpoint after the tokens already sent.
  */
-import { mayRetry, ranAfter } from '@shedline/admission';
+import { mayRetry, ranAfterAttempts } from '@shedline/admission';
 import type { SendProgress } from '@shedline/admission';
 import { ShedlineError } from '@shedline/errors';
 import type { Logger } from '@shedline/logger';
@@ -128,7 +128,7 @@
     const { endpointId, url } = endpoint.announcement;
     const { request } = this;
     await this.moveSessionCache(endpoint);
-    fleet.loads.change(endpointId, 'online', 1);
+    fleet.loads.recordChange(endpointId, 'online', 1);
     fleet.endpoints.sent(endpointId);
     onOnlineStart(endpointId);
     try {
@@ -147,7 +147,7 @@
         },
       });
     } finally {
-      fleet.loads.change(endpointId, 'online', -1);
+      fleet.loads.recordChange(endpointId, 'online', -1);
     }
   }
 
@@ -183,10 +183,10 @@
     latencies.record(this.service, 'online', 'firstToken', latencyMs);
     burn.record(this.service, 'firstToken', latencyMs <= row.targets.firstTokenMs, nowMs);
     fleet.endpoints.succeeded(endpointId, latencyMs, nowMs);
-    fleet.prefixes.note(endpointId, this.prefixes);
+    fleet.prefixes.record(endpointId, this.prefixes);
     const { sessionId } = this.request;
     if (sessionId !== undefined) fleet.recordSession(sessionId, endpointId);
-    fleet.limitOf(endpointId, row).sample(latencyMs, fleet.loads.online(endpointId, nowMs));
+    fleet.limitOf(endpointId, row).addSample(latencyMs, fleet.loads.online(endpointId, nowMs));
   }
 
   private recordNextToken(nowMs: number): void {
@@ -258,14 +258,14 @@
       message: `no endpoint of ${this.service} is available; retry later`,
       step: 'choose endpoint',
       peer: this.service,
-      ran: ranAfter(this.attempts),
+      ran: ranAfterAttempts(this.attempts),
       retryAfterMs: UNAVAILABLE_RETRY_MS,
     });
   }
 
   private disconnectError(): ShedlineError {
     const message = 'the caller disconnected';
-    const ran = ranAfter(this.attempts);
+    const ran = ranAfterAttempts(this.attempts);
     return new ShedlineError({
       type: 'endpoint_failed',
       message,
@@ -291,7 +291,7 @@
       message: isPastDeadline ? 'the deadline of the request has passed' : outcome.message,
       step: 'generate',
       peer: endpoint.announcement.endpointId,
-      ran: ranAfter(this.attempts),
+      ran: ranAfterAttempts(this.attempts),
       ...(isNotExecuted ? { retryAfterMs: UNAVAILABLE_RETRY_MS } : {}),
     });
   }
--- a/packages/entry/src/service-calls.ts
+++ b/packages/entry/src/service-calls.ts
@@ -1,7 +1,7 @@
 /**
  * `ANY /v1/services/:service/*`: forwards calls to plain services.
  */
-import { ranAfter, mayRetry } from '@shedline/admission';
+import { ranAfterAttempts, mayRetry } from '@shedline/admission';
 import type { SendProgress } from '@shedline/admission';
 import { ShedlineError } from '@shedline/errors';
 import { rowKey, sha256Hex } from '@shedline/types';
@@ -139,10 +139,10 @@
       const endpoint = fleet.route(query, nowMs());
       if (endpoint === undefined) throw unavailable(key, attempts);
       const { endpointId, url } = endpoint.announcement;
-      fleet.loads.change(endpointId, 'online', 1);
+      fleet.loads.recordChange(endpointId, 'online', 1);
       fleet.endpoints.sent(endpointId);
       const outcome = await driver.call({ url, ...call, connectionClass: 'online', signal });
-      fleet.loads.change(endpointId, 'online', -1);
+      fleet.loads.recordChange(endpointId, 'online', -1);
       if (outcome.kind === 'answered') {
         fleet.endpoints.succeeded(endpointId, undefined, nowMs());
         return outcome;
@@ -208,7 +208,7 @@
     message: `no endpoint of ${key} is available; retry later`,
     step: 'choose endpoint',
     peer: key,
-    ran: ranAfter(attempts),
+    ran: ranAfterAttempts(attempts),
     retryAfterMs: RETRY_AFTER_MS,
   });
 }
@@ -225,6 +225,6 @@
     message: isPastDeadline ? 'the deadline of the request has passed' : reason,
     step: 'call service',
     peer,
-    ran: ranAfter(attempts),
+    ran: ranAfterAttempts(attempts),
   });
 }
--- a/packages/errors/src/index.ts
+++ b/packages/errors/src/index.ts
@@ -2,7 +2,7 @@
  * The error class of shedline. Each error carries the step that failed, the peer involved, whether
  * the request was executed, and the HTTP status returned to the caller.
  */
-import type { Ran } from '@shedline/types';
+import type { ExecutionStatus } from '@shedline/types';
 
 /** Machine-readable error types. */
 export type ErrorType =
@@ -47,7 +47,7 @@
   /** Other party of the operation: an instance, an endpoint, a file or the caller. */
   readonly peer?: string;
   /** Whether the request was executed; `no` if omitted. */
-  readonly ran?: Ran;
+  readonly ran?: ExecutionStatus;
   readonly retryAfterMs?: number;
   readonly cause?: unknown;
   /** Additional data for the caller, such as the current row after a conflict. */
@@ -60,7 +60,7 @@
   readonly message: string;
   readonly step: string;
   readonly peer: string;
-  readonly ran: Ran;
+  readonly ran: ExecutionStatus;
   readonly retryAfterMs?: number;
   readonly details?: Readonly<Record<string, unknown>>;
 }
@@ -70,7 +70,7 @@
   readonly type: ErrorType;
   readonly step: string;
   readonly peer: string;
-  readonly ran: Ran;
+  readonly ran: ExecutionStatus;
   readonly retryAfterMs: number | undefined;
   readonly details: Readonly<Record<string, unknown>> | undefined;
 
@@ -125,7 +125,7 @@
 /** Converts any thrown value to a {@link ShedlineError}; returns one unchanged. */
 export function toShedlineError(
   error: unknown,
-  context: { readonly step: string; readonly peer?: string; readonly ran?: Ran },
+  context: { readonly step: string; readonly peer?: string; readonly ran?: ExecutionStatus },
 ): ShedlineError {
   if (error instanceof ShedlineError) return error;
   const message = error instanceof Error ? error.message : String(error);
--- a/packages/fleet-control/src/control-process.ts
+++ b/packages/fleet-control/src/control-process.ts
@@ -27,7 +27,7 @@
 import { FleetStateMachine, FLEET_GROUP } from './group-state-machines.js';
 import { groupSettings } from './group-settings.js';
 import { HeartbeatBatcher } from './heartbeat-batcher.js';
-import { portsOf } from './peer-ports.js';
+import { callPortsOf } from './peer-ports.js';
 import { peerAddressFromName, seedAddresses } from './ports.js';
 import { ProcessCore } from './process-core.js';
 import { StoreLifecycle } from './store-lifecycle.js';
@@ -173,7 +173,7 @@
   }
 
   /** Records a heartbeat of an endpoint and forwards it to other processes. */
-  takeHeartbeat(heartbeat: EndpointHeartbeat): void {
+  receiveHeartbeat(heartbeat: EndpointHeartbeat): void {
     const known = this.registry.runOf(heartbeat.endpointId);
     const isNewIncarnation = known?.startedAtMs !== heartbeat.startedAtMs;
     if (!this.registry.record(heartbeat, 0, this.nowMs())) return;
@@ -182,7 +182,7 @@
   }
 
   /** Records that an endpoint incarnation drains; resolves once a quorum has stored the record. */
-  async takeLeave({ endpointId, startedAtMs }: EndpointRun): Promise<void> {
+  async recordLeave({ endpointId, startedAtMs }: EndpointRun): Promise<void> {
     if (this.stateMachine.state.isLeaving({ endpointId, startedAtMs })) return;
     const answer = await this.propose({ type: 'recordLeave', endpointId, startedAtMs });
     this.logger.info('endpoint drain recorded', {
@@ -251,7 +251,11 @@
       return answer;
     } finally {
       this.metrics.count('shedline_leader_calls_total', { method, outcome });
-      this.metrics.took('shedline_leader_call_milliseconds', { method }, this.nowMs() - startMs);
+      this.metrics.recordDuration(
+        'shedline_leader_call_milliseconds',
+        { method },
+        this.nowMs() - startMs,
+      );
     }
   }
 
@@ -272,15 +276,18 @@
     const { state } = this.stateMachine;
     this.metrics.gauge('shedline_configuration_version', () => state.position.version);
     this.metrics.gauge('shedline_leave_records', () => state.position.leaveCount);
-    this.metrics.gauge('shedline_groups_led', () => this.groups?.leading().length ?? 0);
-    this.metrics.gauge('shedline_silent_control_processes', () => this.core.mesh.silentCore.length);
+    this.metrics.gauge('shedline_groups_led', () => this.groups?.ledGroups().length ?? 0);
+    this.metrics.gauge(
+      'shedline_silent_control_processes',
+      () => this.core.mesh.missingCore.length,
+    );
     this.metrics.gauge('shedline_live_entries', () => this.core.mesh.live('entry').length);
     this.metrics.gauge('shedline_live_stores', () => this.core.mesh.live('store').length);
   }
 
   /** Returns the processes that may lead the fleet group, this process first. */
   private ports(): CallPort[] {
-    const remote = portsOf(this.core.mesh.controls);
+    const remote = callPortsOf(this.core.mesh.controls);
     if (this.groups === undefined) return remote;
     const own: CallPort = {
       name: this.core.name,
@@ -367,7 +374,7 @@
   }
 
   private async onRequest(method: string, payload: unknown): Promise<unknown> {
-    const answer = this.groups?.answer(method, payload);
+    const answer = this.groups?.handle(method, payload);
     if (answer !== undefined) return answer;
     switch (method) {
       case 'fleetRefresh':
@@ -406,7 +413,7 @@
   }
 
   private stateSince(position: FleetPosition): StateAnswer {
-    const confirmedAgeMs = this.fleetGroup?.consensus.contactAgeMs(this.nowMs());
+    const confirmedAgeMs = this.fleetGroup?.consensus.quorumContactAgeMs(this.nowMs());
     return {
       delta: this.stateMachine.state.deltaSince(position),
       ...(confirmedAgeMs === undefined ? {} : { confirmedAgeMs }),
@@ -437,7 +444,7 @@
   }
 
   private requireLeadingLifecycle(step: string): StoreLifecycle {
-    if (!this.requireFleetGroup(step).isLeading)
+    if (!this.requireFleetGroup(step).isLeader)
       throw this.core.unavailable(step, 'this process does not lead the fleet group');
     return this.storeLifecycle;
   }
--- a/packages/fleet-control/src/fleet-control.test.ts
+++ b/packages/fleet-control/src/fleet-control.test.ts
@@ -62,7 +62,7 @@
       const members = new Map(
         [...config.voters, ...config.learners].map((memberId) => [
           memberId,
-          { memberId, silentMs: 0, lagEntries: 0 },
+          { memberId, lastContactAgoMs: 0, lagEntries: 0 },
         ]),
       );
       const next = planMembership({
--- a/packages/fleet-control/src/job-requests.ts
+++ b/packages/fleet-control/src/job-requests.ts
@@ -51,7 +51,7 @@
   runsCommitted(group: number, run: CommitRuns): void {
     const { holder, finished, failed, returned, crashed = [] } = run;
     const dispenser = this.dispenserOf(group);
-    dispenser.finished(finished, this.options.nowMs());
+    dispenser.recordFinished(finished, this.options.nowMs());
     dispenser.release(holder, [...failed, ...returned]);
     const changedJobIds = [...finished, ...failed, ...crashed].map(({ jobId }) => jobId);
     for (const jobId of new Set(changedJobIds)) this.resumeReaders(jobId);
@@ -150,7 +150,7 @@
         ...(progress === undefined ? {} : { progress }),
       };
     });
-    return { items, waitingItems: granted.unheldCount };
+    return { items, waitingItems: granted.unleasedCount };
   }
 
   private async renew(
@@ -166,7 +166,7 @@
   }
 
   private requireLeading(host: GroupHost, step: string): void {
-    if (host.isLeading) return;
+    if (host.isLeader) return;
     const leader = instanceOf(host.consensus.leaderId);
     throw this.options.unavailable(step, `this store does not lead group ${host.group}`, leader);
   }
--- a/packages/fleet-control/src/peer-ports.ts
+++ b/packages/fleet-control/src/peer-ports.ts
@@ -5,7 +5,7 @@
 import type { PeerConnections } from '@shedline/transport';
 
 /** Returns a call port for each connected peer. */
-export function portsOf(connections: PeerConnections): CallPort[] {
+export function callPortsOf(connections: PeerConnections): CallPort[] {
   return connections.names.flatMap((name): CallPort[] => {
     const client = connections.get(name);
     if (client === undefined) return [];
--- a/packages/fleet-control/src/process-core.ts
+++ b/packages/fleet-control/src/process-core.ts
@@ -91,7 +91,10 @@
 
   /** Creates connections of this process to some of its peers. */
   createPeerConnections(
-    options: Pick<PeerConnectionsOptions, 'handlers' | 'lingerMs' | 'use' | 'firstRetryMs'> = {},
+    options: Pick<
+      PeerConnectionsOptions,
+      'handlers' | 'lingerMs' | 'silenceDetection' | 'firstRetryMs'
+    > = {},
   ): PeerConnections {
     const { logger } = this.options;
     return new PeerConnections({
--- a/packages/fleet-control/src/quota-counter.ts
+++ b/packages/fleet-control/src/quota-counter.ts
@@ -3,7 +3,7 @@
  * entries which workspaces are near their limits.
  */
 import type { Logger } from '@shedline/logger';
-import { NEAR_INTERVAL_MS, RequestLedger } from '@shedline/quota';
+import { NEAR_LIMIT_INTERVAL_MS, RequestLedger } from '@shedline/quota';
 import type { QuotaAnswer, QuotaRequest, QuotaTolerance, UsageReport } from '@shedline/quota';
 
 /** Options of {@link QuotaCounter}. */
@@ -37,7 +37,7 @@
   start(): void {
     this.timer = setInterval(() => {
       this.repeatAnnouncement();
-    }, NEAR_INTERVAL_MS);
+    }, NEAR_LIMIT_INTERVAL_MS);
   }
 
   /** Stops the periodic announcements. */
@@ -60,7 +60,7 @@
 
   /** Grants requests as far as the limit of their workspace allows. */
   grant(request: QuotaRequest): QuotaAnswer {
-    const answer = this.ledger.ask(request, this.options.nowMs());
+    const answer = this.ledger.grant(request, this.options.nowMs());
     if (answer.granted < request.wanted && !this.announced.has(request.workspace)) {
       this.announceNew([request.workspace]);
     }
@@ -77,7 +77,7 @@
   private repeatAnnouncement(): void {
     const nowMs = this.options.nowMs();
     this.ledger.tick(nowMs);
-    const near = this.ledger.near(nowMs);
+    const near = this.ledger.workspacesNearLimit(nowMs);
     this.announced = new Set(near);
     if (near.length > 0) this.options.announce(near);
   }
--- a/packages/fleet-control/src/state-reader.ts
+++ b/packages/fleet-control/src/state-reader.ts
@@ -25,7 +25,7 @@
     const { peerName: peer } = control;
     try {
       const answer = await control.request('fleetState', this.fleet.position, READ_TIMEOUT_MS);
-      this.fleet.take((answer as StateAnswer).delta);
+      this.fleet.applyDelta((answer as StateAnswer).delta);
     } catch (error) {
       const reason = error instanceof Error ? error.message : String(error);
       this.logger.debug('could not read the fleet state', { step: 'refresh', peer, reason });
--- a/packages/fleet-control/src/store-process.ts
+++ b/packages/fleet-control/src/store-process.ts
@@ -70,7 +70,7 @@
       handlers: {
         onRequest: (method, payload) => this.onRequest(method, payload),
         onMessage: (method, payload) => {
-          if (method === 'fleetNews') this.state.fleet.take(payload as FleetDelta);
+          if (method === 'fleetNews') this.state.fleet.applyDelta(payload as FleetDelta);
           else this.groups.onMessage(method, payload);
         },
       },
@@ -78,7 +78,7 @@
         this.connectStores();
       },
     });
-    this.stores = this.core.createPeerConnections({ use: 'news' });
+    this.stores = this.core.createPeerConnections({ silenceDetection: 'fast' });
     this.requests = new JobRequests({
       nowMs: this.nowMs,
       unavailable: (step, message, leader) => this.core.unavailable(step, message, leader),
@@ -137,7 +137,7 @@
           }),
         findCluster: () => this.findCluster(),
         roleChanged: (host) => {
-          if (host.isLeading) this.requests.becameLeader(host.group);
+          if (host.isLeader) this.requests.becameLeader(host.group);
           this.announceGroups();
         },
         leaderTick: (host) => {
@@ -178,7 +178,7 @@
     const { memberId } = this.groups;
     const held = hosts.filter(({ consensus }) => consensus.config.voters.includes(memberId));
     const holds = held.map(({ group }) => group).sort();
-    const leads = held.filter(({ isLeading }) => isLeading).map(({ group }) => group);
+    const leads = held.filter(({ isLeader }) => isLeader).map(({ group }) => group);
     const { self } = this.core.mesh;
     const announced = `${self.holds?.join()}|${self.leads?.join()}`;
     if (announced !== `${holds.join()}|${leads.join()}`) this.core.mesh.update({ holds, leads });
@@ -201,12 +201,12 @@
     if (command.type === 'commitRuns') this.requests.runsCommitted(group, command);
     if (command.type !== 'endJob') return;
     this.requests.resumeReaders(command.jobId);
-    if (this.groups.hosts.get(group)?.isLeading !== true) return;
+    if (this.groups.hosts.get(group)?.isLeader !== true) return;
     this.core.broadcast('jobEnded', { jobId: command.jobId } satisfies JobEndedMessage);
   }
 
   private async onRequest(method: string, payload: unknown): Promise<unknown> {
-    const answer = this.groups.answer(method, payload);
+    const answer = this.groups.handle(method, payload);
     if (answer !== undefined) return answer;
     if (method === 'groupStatuses') return this.groups.groupStatuses();
     const { group, body } = payload as GroupRequest<unknown>;
@@ -230,12 +230,16 @@
       return answer;
     } finally {
       this.metrics.count('shedline_commands_total', { method, outcome });
-      this.metrics.took('shedline_command_milliseconds', { method }, this.nowMs() - startMs);
+      this.metrics.recordDuration(
+        'shedline_command_milliseconds',
+        { method },
+        this.nowMs() - startMs,
+      );
     }
   }
 
   private addGauges(): void {
-    this.metrics.gauge('shedline_groups_led', () => this.groups.leading().length);
+    this.metrics.gauge('shedline_groups_led', () => this.groups.ledGroups().length);
     this.metrics.gauge('shedline_syncs', () => this.groups.syncCount);
     this.metrics.gauge('shedline_disk_refuses_writes', () =>
       this.groups.diskFailure === '' ? 0 : 1,
--- a/packages/fleet/src/fleet.test.ts
+++ b/packages/fleet/src/fleet.test.ts
@@ -132,15 +132,15 @@
         for (const { command: next, reads } of all) {
           state.apply(next);
           if (!reads) continue;
-          known.take(state.deltaSince(known.position));
+          known.applyDelta(state.deltaSince(known.position));
           const before = known.position;
           // An outdated reply that arrives late changes nothing.
-          known.take(stale);
+          known.applyDelta(stale);
           if (known.position.version !== before.version) return false;
           if (known.position.leaveCount !== before.leaveCount) return false;
           stale = state.deltaSince({ version: -1, leaveCount: 0 });
         }
-        known.take(state.deltaSince(known.position));
+        known.applyDelta(state.deltaSince(known.position));
         const ids = Array.from({ length: 10 }, (_, id) => `e${id}`);
         return (
           known.position.version === state.position.version &&
@@ -157,7 +157,7 @@
   test(title('a reader that missed a push requests the missed changes'), (t) => {
     const state = new FleetState();
     const known = new KnownFleet();
-    known.take(state.deltaSince(known.position));
+    known.applyDelta(state.deltaSince(known.position));
     state.apply({ type: 'recordLeave', endpointId: 'missed' });
     const crashed = [{ contentKey: 'missed', knownCrashes: 0 }];
     state.apply({ type: 'recordCrashes', crashed, survived: [] });
@@ -165,14 +165,14 @@
     state.apply({ type: 'recordLeave', endpointId: 'received' });
     state.apply({ type: 'recordCrashes', crashed: [], survived: ['missed'] });
     const second = state.deltaSince(pushed);
-    known.take(second);
+    known.applyDelta(second);
     t.true(known.isLeaving('received'));
     const reply = state.deltaSince(known.position);
     t.deepEqual(
       reply.crashes?.records.map(({ contentKey }) => contentKey),
       ['missed'],
     );
-    known.take(reply);
+    known.applyDelta(reply);
     t.true(known.isLeaving('missed'));
     t.deepEqual(known.position, state.position);
   });
@@ -225,7 +225,7 @@
     const copy = new FleetState();
     copy.restore(state.toData());
     const known = new KnownFleet();
-    known.take(copy.deltaSince(known.position));
+    known.applyDelta(copy.deltaSince(known.position));
     for (const startedAtMs of [0, 1000]) {
       t.true(copy.isLeaving({ endpointId: 'e', startedAtMs }));
       t.true(known.isLeaving(runIdOf({ endpointId: 'e', startedAtMs })));
--- a/packages/fleet/src/known-fleet.ts
+++ b/packages/fleet/src/known-fleet.ts
@@ -51,7 +51,7 @@
   }
 
   /** Applies a delta; returns its effective changes. */
-  take(delta: FleetDelta): FleetChanges {
+  applyDelta(delta: FleetDelta): FleetChanges {
     const newlyLeaving = delta.leaving.filter((id) => !this.leavingIds.has(id));
     for (const id of newlyLeaving) this.leavingIds.add(id);
     this.advancePosition(delta);
--- a/packages/forwarding/src/content-guard.ts
+++ b/packages/forwarding/src/content-guard.ts
@@ -32,23 +32,23 @@
    */
   admit(contentKey: string): Promise<Admission>;
   /** Returns the remaining quarantine time of a content; 0 if it may be sent. */
-  heldMs(contentKey: string): number;
+  quarantinedForMs(contentKey: string): number;
   /** Returns the number of endpoint crashes attributed to a content. */
-  crashesOf(contentKey: string): number;
+  crashCountOf(contentKey: string): number;
   /**
    * Notes that the connection of a send broke; the endpoint may have crashed while executing it.
    */
-  brokeOff(send: BrokenSend): void;
+  noteBrokenSend(send: BrokenSend): void;
   /** Notes that an endpoint executed the content without crashing. */
-  survived(contentKey: string): void;
+  noteExecuted(contentKey: string): void;
 }
 
 /** A guard that admits all content. */
 export const NOOP_GUARD: ContentGuard = {
   isIdle: true,
   admit: () => Promise.resolve({ isAdmitted: true }),
-  heldMs: () => 0,
-  crashesOf: () => 0,
-  brokeOff: () => undefined,
-  survived: () => undefined,
+  quarantinedForMs: () => 0,
+  crashCountOf: () => 0,
+  noteBrokenSend: () => undefined,
+  noteExecuted: () => undefined,
 };
--- a/packages/forwarding/src/endpoint-queue.test.ts
+++ b/packages/forwarding/src/endpoint-queue.test.ts
@@ -13,7 +13,7 @@
 
 /** Endpoints with a number of free slots each. */
 class FakeFinder implements EndpointFinder {
-  readonly knownWithinMs = 1200;
+  readonly announcedWithinMs = 1200;
   readonly free = new Map<string, number>();
   slots = 0;
   chooseCalls = 0;
@@ -26,13 +26,13 @@
     return undefined;
   }
 
-  began(endpointId: string): void {
+  noteSendStarted(endpointId: string): void {
     this.free.set(endpointId, (this.free.get(endpointId) ?? 0) - 1);
   }
 
-  capacity(_service: string, excluded: ReadonlySet<string>): { slots: number; sharers: number } {
+  capacity(_service: string, excluded: ReadonlySet<string>): { slots: number; entryCount: number } {
     // All slots belong to one endpoint.
-    return { slots: excluded.has('e') ? 0 : this.slots, sharers: 1 };
+    return { slots: excluded.has('e') ? 0 : this.slots, entryCount: 1 };
   }
 }
 
@@ -54,9 +54,9 @@
   return {
     service: SERVICE,
     tried: new Set(),
-    mayRepeat: true,
+    mayRetryTried: true,
     rank: 0,
-    onTimeUntilMs: 300,
+    targetDeadlineMs: 300,
     deadlineMs: 5000,
     ...change,
   };
@@ -97,9 +97,9 @@
     const all = setup(8);
     all.clock.nowMs = 400;
     const order = collectOrder(all, {
-      late: request({ onTimeUntilMs: 300, deadlineMs: 3000 }),
-      fresh: request({ onTimeUntilMs: 700 }),
-      resumed: request({ onTimeUntilMs: 600 }),
+      late: request({ targetDeadlineMs: 300, deadlineMs: 3000 }),
+      fresh: request({ targetDeadlineMs: 700 }),
+      resumed: request({ targetDeadlineMs: 600 }),
     });
     for (let slot = 0; slot < 3; slot += 1) {
       all.finder.free.set('e', 1);
@@ -129,7 +129,7 @@
     const order = collectOrder(all, { only: request() });
     await settled();
     t.deepEqual(order, []);
-    all.clock.nowMs = all.finder.knownWithinMs;
+    all.clock.nowMs = all.finder.announcedWithinMs;
     all.queue.ended(SERVICE);
     await settled();
     t.deepEqual(order, ['only refused']);
@@ -142,7 +142,7 @@
       finder.free.set('e', 2);
       const tried = new Set(['e']);
       t.is((await queue.enter(request({ tried })).endpoint)?.endpointId, 'e');
-      const doubtful = queue.enter(request({ tried, mayRepeat: false }));
+      const doubtful = queue.enter(request({ tried, mayRetryTried: false }));
       t.is(queue.length, 1);
       doubtful.leave();
       t.is(await doubtful.endpoint, undefined);
@@ -154,9 +154,9 @@
     async (t) => {
       const all = setup(8);
       const order = collectOrder(all, {
-        doubtful: request({ tried: new Set(['e']), mayRepeat: false }),
+        doubtful: request({ tried: new Set(['e']), mayRetryTried: false }),
       });
-      all.clock.nowMs = all.finder.knownWithinMs;
+      all.clock.nowMs = all.finder.announcedWithinMs;
       all.queue.ended(SERVICE);
       await settled();
       t.deepEqual(order, ['doubtful refused']);
@@ -194,7 +194,7 @@
     t.is(all.queue.nextSlotInMs(SERVICE), 500, 'after four other requests');
     for (const ticket of tickets) ticket.leave();
     const none = setup(0);
-    t.is(none.queue.nextSlotInMs(SERVICE), none.finder.knownWithinMs);
+    t.is(none.queue.nextSlotInMs(SERVICE), none.finder.announcedWithinMs);
     await settled();
   });
 
@@ -207,8 +207,8 @@
       for (let count = 0; count < 6; count += 1) all.queue.enter(request()).leave();
       all.finder.free.set('e', 2);
       const order = collectOrder(all, {
-        late: request({ onTimeUntilMs: -1 }),
-        last: request({ onTimeUntilMs: -1, deadlineMs: 1450 }),
+        late: request({ targetDeadlineMs: -1 }),
+        last: request({ targetDeadlineMs: -1, deadlineMs: 1450 }),
         fresh: request(),
       });
       await settled();
@@ -226,7 +226,7 @@
     async (t) => {
       const all = setup(2);
       for (let count = 0; count < 100; count += 1)
-        all.queue.ended(SERVICE, { runMs: 5000, leadMs: 2000 });
+        all.queue.ended(SERVICE, { runMs: 5000, timeToFirstEventMs: 2000 });
       for (let count = 0; count < 20; count += 1) all.queue.enter(request()).leave();
       all.finder.free.set('e', 1);
       t.deepEqual(collectOrder(all, { fresh: request({ deadlineMs: 20_000 }) }), []);
@@ -240,7 +240,7 @@
     async (t) => {
       const all = setup(2);
       all.queue.ended(SERVICE, { runMs: 1000 });
-      const late = { onTimeUntilMs: -1, deadlineMs: 2500 };
+      const late = { targetDeadlineMs: -1, deadlineMs: 2500 };
       const order = collectOrder(all, {
         first: request(late),
         second: request(late),
--- a/packages/forwarding/src/endpoint-queue.ts
+++ b/packages/forwarding/src/endpoint-queue.ts
@@ -5,7 +5,7 @@
  */
 import { FairQueueOrder, WaitEstimate, timelinessOf } from '@shedline/admission';
 import type { WaitingCapacity, QueuedRequest } from '@shedline/admission';
-import type { ChoiceTerms, SharedPrompt } from '@shedline/types';
+import type { ChoiceOptions, SharedPrompt } from '@shedline/types';
 
 /**
  * Interval at which free slots are polled: this entry is not notified of slots that others free.
@@ -17,7 +17,7 @@
  * event. Without a limit, endpoints that respond slowly for a moment would make all new requests
  * count as late, and free slots would stay unused.
  */
-const MAX_LEAD_SHARE = 0.5;
+const MAX_FIRST_EVENT_SHARE = 0.5;
 /**
  * Minimum time after which a rejected caller is asked to retry. Its next attempt would otherwise
  * connect to another entry within a few ms and find the same load.
@@ -34,7 +34,7 @@
   /**
    * Whether the request had passed its target when the endpoint was chosen; see {@link SendEnd}.
    */
-  readonly isForLate?: boolean;
+  readonly isPastTarget?: boolean;
 }
 
 /** How a send ended, as far as it matters for the waiting requests. */
@@ -42,9 +42,9 @@
   /** Execution time of the request; undefined unless the endpoint completed it. */
   readonly runMs?: number | undefined;
   /** Time to the first event of the response; undefined if there was none. */
-  readonly leadMs?: number | undefined;
+  readonly timeToFirstEventMs?: number | undefined;
   /** Value of the same field of {@link ChosenEndpoint}. */
-  readonly isForLate?: boolean | undefined;
+  readonly isPastTarget?: boolean | undefined;
 }
 
 /** Finds endpoints with free slots. */
@@ -56,17 +56,17 @@
   choose(
     service: string,
     tried: ReadonlySet<string>,
-    terms?: ChoiceTerms,
+    options?: ChoiceOptions,
   ): ChosenEndpoint | undefined;
   /** Notes that a request is about to be sent to the endpoint. */
-  began(endpointId: string): void;
+  noteSendStarted(endpointId: string): void;
   /**
    * Returns the capacity of a service without the `excluded` endpoints; 0 slots if none is known to
    * be up.
    */
   capacity(service: string, excluded: ReadonlySet<string>): WaitingCapacity;
   /** Time within which every endpoint that is up has announced itself. */
-  readonly knownWithinMs: number;
+  readonly announcedWithinMs: number;
 }
 
 /** A request for an endpoint. */
@@ -75,7 +75,7 @@
   /** Ids of the endpoints that the request was already sent to. */
   readonly tried: ReadonlySet<string>;
   /** Whether an endpoint of `tried` may be chosen again if no other has a free slot. */
-  readonly mayRepeat: boolean;
+  readonly mayRetryTried: boolean;
   readonly prompt?: SharedPrompt;
 }
 
@@ -143,8 +143,8 @@
    * Queues a request, or gives it an endpoint at once if no other request waits and a slot is free.
    */
   enter(request: EndpointQueueRequest): QueueTicket {
-    this.queueOrder.asked(request.rank, this.nowMs());
-    this.estimateOf(request.service).arrived(this.nowMs());
+    this.queueOrder.recordArrival(request.rank, this.nowMs());
+    this.estimateOf(request.service).recordArrival(this.nowMs());
     const isFirst = !this.waiters.some((other) => other.request.service === request.service);
     const adjusted = this.withSendTargets(request);
     const mayTakeSlot =
@@ -161,16 +161,17 @@
    */
   nextSlotInMs(service: string): number {
     const capacity = this.finder.capacity(service, NONE);
-    if (capacity.slots === 0) return this.finder.knownWithinMs;
+    if (capacity.slots === 0) return this.finder.announcedWithinMs;
     const position = this.waiters.filter(({ request }) => request.service === service).length;
     return Math.max(MIN_RETRY_AFTER_MS, this.estimateOf(service).waitMs(position, capacity));
   }
 
   /** Notes that a send ended and its slot is free. */
-  ended(service: string, { runMs, leadMs, isForLate = false }: SendEnd = {}): void {
-    if (runMs !== undefined) this.estimateOf(service).completed(runMs);
-    if (leadMs !== undefined) this.estimateOf(service).answered(leadMs);
-    if (isForLate) this.lateInFlight -= 1;
+  ended(service: string, { runMs, timeToFirstEventMs, isPastTarget = false }: SendEnd = {}): void {
+    if (runMs !== undefined) this.estimateOf(service).recordRun(runMs);
+    if (timeToFirstEventMs !== undefined)
+      this.estimateOf(service).recordFirstEvent(timeToFirstEventMs);
+    if (isPastTarget) this.lateInFlight -= 1;
     this.assignSlots();
   }
 
@@ -197,13 +198,13 @@
    */
   private withSendTargets(request: EndpointQueueRequest): EndpointQueueRequest {
     const estimate = this.estimateOf(request.service);
-    const leftMs = Math.max(0, request.onTimeUntilMs - this.nowMs());
-    const onTimeUntilMs =
-      request.onTimeUntilMs - Math.min(estimate.leadMs, MAX_LEAD_SHARE * leftMs);
+    const leftMs = Math.max(0, request.targetDeadlineMs - this.nowMs());
+    const targetDeadlineMs =
+      request.targetDeadlineMs - Math.min(estimate.firstEventMs, MAX_FIRST_EVENT_SHARE * leftMs);
     // Among late requests, those already sent to an endpoint go first: they can't be refused as not
     // executed.
     const urgentFromMs = request.tried.size > 0 ? this.nowMs() : estimate.urgentFromMs(request);
-    return { ...request, onTimeUntilMs, urgentFromMs };
+    return { ...request, targetDeadlineMs, urgentFromMs };
   }
 
   /**
@@ -212,11 +213,14 @@
    * unless it is urgent: it could not be served later. Without this rule, after a power loss in a
    * peak every slot went to requests that had waited, and new requests missed their targets too.
    */
-  private mayTakeSlot(request: EndpointQueueRequest, { slots, sharers }: WaitingCapacity): boolean {
+  private mayTakeSlot(
+    request: EndpointQueueRequest,
+    { slots, entryCount }: WaitingCapacity,
+  ): boolean {
     const nowMs = this.nowMs();
     if (timelinessOf(request, nowMs) !== 'late') return true;
-    const reserved = this.estimateOf(request.service).slotsForNew(nowMs);
-    return this.lateInFlight + reserved < slots / Math.max(1, sharers);
+    const reserved = this.estimateOf(request.service).slotsForNewRequests(nowMs);
+    return this.lateInFlight + reserved < slots / Math.max(1, entryCount);
   }
 
   /** Assigns free slots in the queue order, and removes the requests that cannot be served. */
@@ -270,18 +274,18 @@
     request: EndpointQueueRequest,
     mayQueue: boolean,
   ): ChosenEndpoint | undefined {
-    const { service, tried, mayRepeat, prompt } = request;
-    const mayRetryTried = mayRepeat && tried.size > 0;
-    const terms = { mayQueue, prompt };
+    const { service, tried, mayRetryTried, prompt } = request;
+    const isRetryPossible = mayRetryTried && tried.size > 0;
+    const options = { mayQueue, prompt };
     const found =
-      this.finder.choose(service, tried, terms) ??
-      (mayRetryTried ? this.finder.choose(service, NONE, terms) : undefined);
+      this.finder.choose(service, tried, options) ??
+      (isRetryPossible ? this.finder.choose(service, NONE, options) : undefined);
     if (found === undefined) return undefined;
-    this.finder.began(found.endpointId);
-    this.queueOrder.served(request, this.nowMs());
-    const isForLate = timelinessOf(request, this.nowMs()) !== 'on time';
-    if (isForLate) this.lateInFlight += 1;
-    return { ...found, isForLate };
+    this.finder.noteSendStarted(found.endpointId);
+    this.queueOrder.recordServed(request, this.nowMs());
+    const isPastTarget = timelinessOf(request, this.nowMs()) !== 'on time';
+    if (isPastTarget) this.lateInFlight += 1;
+    return { ...found, isPastTarget };
   }
 
   private cannotBeServed(
@@ -290,15 +294,15 @@
     nowMs: number,
   ): boolean {
     if (request.deadlineMs <= nowMs) return true;
-    const { service, tried, mayRepeat } = request;
-    const isAnyUsable = mayRepeat || tried.size === 0;
+    const { service, tried, mayRetryTried } = request;
+    const isAnyUsable = mayRetryTried || tried.size === 0;
     const capacity = isAnyUsable ? scan.capacity : this.finder.capacity(service, tried);
-    if (capacity.slots === 0) return nowMs - enqueuedAtMs >= this.finder.knownWithinMs;
+    if (capacity.slots === 0) return nowMs - enqueuedAtMs >= this.finder.announcedWithinMs;
     const estimate = this.estimateOf(service);
     const isLate = timelinessOf(request, nowMs) === 'late';
-    if (isLate && estimate.isBeyondLate(request, scan.remainingLateCount, capacity, nowMs))
+    if (isLate && estimate.hasTooManyLateAhead(request, scan.remainingLateCount, capacity, nowMs))
       return true;
-    return estimate.isHopeless(request, scan.remainingCount, capacity, nowMs);
+    return estimate.willMissDeadline(request, scan.remainingCount, capacity, nowMs);
   }
 
   private remove(waiter: Waiter, endpoint: ChosenEndpoint | undefined): void {
--- a/packages/forwarding/src/endpoint-sender.test.ts
+++ b/packages/forwarding/src/endpoint-sender.test.ts
@@ -72,7 +72,7 @@
       mayBeRepeated: true,
       ...(silenceLimitMs === undefined
         ? {}
-        : { silence: { limitMs: silenceLimitMs, then: 'giveUp' } }),
+        : { silence: { limitMs: silenceLimitMs, action: 'giveUp' } }),
     },
     {
       onHead: () => undefined,
@@ -180,8 +180,8 @@
       const startedAtMs = performance.now();
       sockets[1]?.write(STREAM_HEAD + chunk('id: 1\ndata: a\n\n'));
       while (partCount === 0) await pause(5);
-      t.is(sender.loseUnheard(address, startedAtMs), 1);
-      t.is(sender.loseUnheard('10.0.0.1:1', startedAtMs), 0);
+      t.is(sender.failUnresponsiveSends(address, startedAtMs), 1);
+      t.is(sender.failUnresponsiveSends('10.0.0.1:1', startedAtMs), 0);
       sockets[1]?.write('0\r\n\r\n');
       const results = await Promise.all(sends.map((send) => send.result));
       const kinds = results.map((result) =>
--- a/packages/forwarding/src/endpoint-sender.ts
+++ b/packages/forwarding/src/endpoint-sender.ts
@@ -35,7 +35,7 @@
   /** Time without received bytes. */
   readonly limitMs: number;
   /** `giveUp`: the send fails; `notify`: it continues, and its receiver is notified. */
-  readonly then: 'giveUp' | 'notify';
+  readonly action: 'giveUp' | 'notify';
 }
 
 /** Callbacks of a send in progress. */
@@ -112,7 +112,7 @@
    * partition no reset arrives: a stream that may be executed only once would stay open until its
    * caller's deadline.
    */
-  loseUnheard(address: string, sinceMs: number): number {
+  failUnresponsiveSends(address: string, sinceMs: number): number {
     const lost = [...(this.inFlight.get(address) ?? [])].filter(
       (send) => send.lastReceivedAtMs < sinceMs,
     );
@@ -130,7 +130,7 @@
   }
 
   /** Closes the connections to an endpoint that no longer exists. */
-  forget(address: string): void {
+  closeConnectionsTo(address: string): void {
     this.connections.closeConnectionsTo(address);
   }
 
@@ -173,11 +173,11 @@
       this.settle = resolve;
     });
     if (silence === undefined) return;
-    const { limitMs, then } = silence;
+    const { limitMs, action } = silence;
     this.watchdog = new ResponseWatchdog({
       timeoutMs: limitMs,
       onTimeout: () => {
-        if (then === 'giveUp') this.failAsSilent(limitMs);
+        if (action === 'giveUp') this.failAsSilent(limitMs);
         else this.reportSilence(true);
       },
     });
--- a/packages/forwarding/src/forward-task.ts
+++ b/packages/forwarding/src/forward-task.ts
@@ -14,11 +14,11 @@
    * Notes that a send ended; `firstPartMs` is the time to the first part of its response, if there
    * was one.
    */
-  ended(endpointId: string, result: SendResult, firstPartMs: number | undefined): void;
+  noteSendEnded(endpointId: string, result: SendResult, firstPartMs: number | undefined): void;
   /** Notes that the response to a send has begun. */
-  answers(endpointId: string): void;
+  noteResponseStarted(endpointId: string): void;
   /** Whether a request at the endpoint may be queued there. */
-  mayBeWaiting(endpointId: string): boolean;
+  mayBeQueued(endpointId: string): boolean;
 }
 
 /** Receives the response for the caller. */
@@ -27,7 +27,7 @@
    * Writes the head. `endsWithConnection`: the body has neither a length nor chunks; see {@link
    * EndpointHead}.
    */
-  head(
+  sendHead(
     status: number,
     headers: RawHeaders,
     options?: { readonly endsWithConnection?: boolean },
@@ -37,14 +37,14 @@
   onDrain(listener: () => void): void;
   end(): void;
   /** Closes the connection so that the truncated response does not look complete. */
-  cut(): void;
+  abort(): void;
   /** Sends an error response of shedline itself. */
   refuse(status: number, options: { readonly retryAfterMs?: number }): void;
   /**
    * Registers a listener, called once if the caller disconnects before the response is complete or
    * already has.
    */
-  onGone(listener: () => void): void;
+  onDisconnect(listener: () => void): void;
 }
 
 /** How a request ended, for logs and counters. */
@@ -78,6 +78,6 @@
   /** When this attempt of the caller arrived, on the same clock. */
   readonly arrivedAtMs: number;
   /** When the caller's first attempt was made, as far as known, on the same clock. */
-  readonly firstAskedAtMs: number;
+  readonly firstAttemptAtMs: number;
   readonly sink: ResponseSink;
 }
--- a/packages/forwarding/src/forwarded-request.ts
+++ b/packages/forwarding/src/forwarded-request.ts
@@ -42,7 +42,7 @@
   private running: RunningSend | undefined;
   private firstPartMs: number | undefined;
   /** Whether the request had passed its target when its endpoint was chosen. */
-  private isForLate = false;
+  private isPastTarget = false;
   /** Whether the send in progress is counted as occupying a slot of its endpoint. */
   private holdsSlot = false;
   private pendingHead: EndpointHead | undefined;
@@ -64,7 +64,7 @@
         ? {}
         : { resumeAfterEventId: request.resumeAfterEventId }),
     });
-    task.sink.onGone(() => {
+    task.sink.onDisconnect(() => {
       this.isCallerGone = true;
       this.ticket?.leave();
       this.running?.stop();
@@ -86,10 +86,10 @@
         break;
       }
       // Its content may have been quarantined while it waited or after its previous send.
-      const { heldMs } = this.content;
-      if (heldMs > 0) {
+      const { quarantinedForMs } = this.content;
+      if (quarantinedForMs > 0) {
         this.releaseSlot(endpoint.endpointId, { kind: 'stopped' });
-        step = this.refuseQuarantined(heldMs);
+        step = this.refuseQuarantined(quarantinedForMs);
         break;
       }
       const result = await this.sendTo(endpoint, step.resumeAfterEventId);
@@ -110,8 +110,8 @@
   }
 
   private async firstStep(): Promise<PlanStep> {
-    const heldMs = await this.content.admit();
-    return heldMs > 0 ? this.refuseQuarantined(heldMs) : this.plan.first();
+    const quarantinedForMs = await this.content.admit();
+    return quarantinedForMs > 0 ? this.refuseQuarantined(quarantinedForMs) : this.plan.first();
   }
 
   /**
@@ -136,25 +136,25 @@
   /** Waits in the queue; returns undefined if the request cannot be served in time. */
   private async findEndpoint(): Promise<ChosenEndpoint | undefined> {
     const { nowMs } = this.options;
-    const { service, rank, route, request, deadlineMs, firstAskedAtMs } = this.task;
+    const { service, rank, route, request, deadlineMs, firstAttemptAtMs } = this.task;
     const sinceMs = nowMs();
     this.ticket = this.queue.enter({
       service,
       tried: this.tried,
       // If every endpoint was tried, one that refused the request may have a free slot by now.
-      mayRepeat: !this.plan.isInDoubt,
+      mayRetryTried: !this.plan.isInDoubt,
       rank,
       ...(request.workspace === undefined ? {} : { workspace: request.workspace }),
-      onTimeUntilMs: this.isHeadSent
+      targetDeadlineMs: this.isHeadSent
         ? sinceMs + route.longestPauseMs
-        : firstAskedAtMs + route.targetMs,
+        : firstAttemptAtMs + route.targetMs,
       deadlineMs,
       ...this.streamStartLimit(),
       ...(request.sharedPrompt === undefined ? {} : { prompt: request.sharedPrompt }),
     });
     const endpoint = await this.ticket.endpoint;
     this.ticket = undefined;
-    this.isForLate = endpoint?.isForLate === true;
+    this.isPastTarget = endpoint?.isPastTarget === true;
     this.waitedMs += nowMs() - sinceMs;
     return endpoint;
   }
@@ -163,21 +163,25 @@
    * Returns the time by which a stream has to start or continue: callers abandon a stream without
    * events long before their deadline.
    */
-  private streamStartLimit(): { readonly beginByMs?: number } {
+  private streamStartLimit(): { readonly firstEventDeadlineMs?: number } {
     const { route, arrivedAtMs } = this.task;
     if (route.kind !== 'stream') return {};
     const { targetMs, longestPauseMs } = route;
     const callerTimeoutMs = Math.max(MIN_CALLER_TIMEOUT_MS, 4 * targetMs, 8 * longestPauseMs);
     const sinceMs = this.isHeadSent ? this.options.nowMs() : arrivedAtMs;
-    return { beginByMs: sinceMs + callerTimeoutMs };
+    return { firstEventDeadlineMs: sinceMs + callerTimeoutMs };
   }
 
   /** Releases the slot of an endpoint that the request occupied. */
   private releaseSlot(endpointId: string, result: SendResult, runMs?: number): void {
-    this.options.chooser.ended(endpointId, result, this.firstPartMs);
-    const { isForLate } = this;
-    this.queue.ended(this.task.service, { runMs, leadMs: this.firstPartMs, isForLate });
-    this.isForLate = false;
+    this.options.chooser.noteSendEnded(endpointId, result, this.firstPartMs);
+    const { isPastTarget } = this;
+    this.queue.ended(this.task.service, {
+      runMs,
+      timeToFirstEventMs: this.firstPartMs,
+      isPastTarget,
+    });
+    this.isPastTarget = false;
   }
 
   /**
@@ -188,7 +192,7 @@
    */
   private releaseSlotOnSilence(endpointId: string): void {
     const { hasBegun } = this;
-    if (!hasBegun && this.options.chooser.mayBeWaiting(endpointId)) return;
+    if (!hasBegun && this.options.chooser.mayBeQueued(endpointId)) return;
     this.holdsSlot = false;
     const kind = hasBegun ? 'brokeOff' : 'lost';
     this.releaseSlot(endpointId, {
@@ -201,7 +205,7 @@
   private reclaimSlot(endpointId: string): void {
     if (this.holdsSlot) return;
     this.holdsSlot = true;
-    this.options.chooser.began(endpointId);
+    this.options.chooser.noteSendStarted(endpointId);
   }
 
   private async sendTo(
@@ -237,7 +241,7 @@
           if (!head.isEventStream) this.sendHead();
         },
         onPart: (bytes, event) => {
-          if (this.firstPartMs === undefined) this.options.chooser.answers(endpointId);
+          if (this.firstPartMs === undefined) this.options.chooser.noteResponseStarted(endpointId);
           this.firstPartMs ??= nowMs() - sentAtMs;
           return this.forwardPart(bytes, event?.id);
         },
@@ -277,7 +281,7 @@
     if (kind !== 'stream') return {};
     const lateMs = Math.max(targetMs, longestPauseMs);
     const limitMs = Math.max(MIN_SILENCE_MS, SILENCE_FACTOR * lateMs);
-    return { silence: { limitMs, then: this.plan.mayContinueElsewhere ? 'giveUp' : 'notify' } };
+    return { silence: { limitMs, action: this.plan.mayContinueElsewhere ? 'giveUp' : 'notify' } };
   }
 
   /**
@@ -287,7 +291,7 @@
     if (this.isHeadSent || this.pendingHead === undefined) return;
     this.isHeadSent = true;
     const { status, headers, endsWithConnection } = this.pendingHead;
-    this.task.sink.head(status, headers, { endsWithConnection });
+    this.task.sink.sendHead(status, headers, { endsWithConnection });
     this.plan.noteForwarded(undefined);
   }
 
@@ -306,7 +310,7 @@
   private forwardFailure(result: SendResult & { kind: 'failure' }): ForwardEnd {
     const { sink } = this.task;
     const { status, headers, endsWithConnection } = result.head;
-    sink.head(status, headers, { endsWithConnection });
+    sink.sendHead(status, headers, { endsWithConnection });
     sink.write(result.body);
     sink.end();
     return this.close('passedOn');
@@ -319,7 +323,7 @@
       return this.close('refused');
     }
     if (step.action === 'abort') {
-      sink.cut();
+      sink.abort();
       return this.close('cut');
     }
     const isTimeout = step.action === 'fail' && step.isTimeout;
--- a/packages/forwarding/src/forwarder.test.ts
+++ b/packages/forwarding/src/forwarder.test.ts
@@ -31,7 +31,7 @@
     this.isDisconnected = isDisconnected;
   }
 
-  head(): void {
+  sendHead(): void {
     throw new Error('no response is expected');
   }
   write(): boolean {
@@ -43,13 +43,13 @@
   end(): void {
     throw new Error('no response is expected');
   }
-  cut(): void {
+  abort(): void {
     throw new Error('no response is expected');
   }
   refuse(): void {
     throw new Error('no refusal is expected');
   }
-  onGone(listener: () => void): void {
+  onDisconnect(listener: () => void): void {
     if (this.isDisconnected) listener();
     else this.listener = listener;
   }
@@ -60,7 +60,7 @@
 
 /** One endpoint with a given number of free slots. */
 class OneEndpoint implements EndpointChooser {
-  readonly knownWithinMs = 1000;
+  readonly announcedWithinMs = 1000;
   slots: number;
 
   constructor(slots: number) {
@@ -70,19 +70,19 @@
   choose(): ChosenEndpoint | undefined {
     return this.slots > 0 ? { endpointId: 'e', address: 'a:1', load: 0 } : undefined;
   }
-  capacity(): { slots: number; sharers: number } {
-    return { slots: 1, sharers: 1 };
+  capacity(): { slots: number; entryCount: number } {
+    return { slots: 1, entryCount: 1 };
   }
-  began(): void {
+  noteSendStarted(): void {
     this.slots -= 1;
   }
-  ended(): void {
+  noteSendEnded(): void {
     this.slots += 1;
   }
-  answers(): void {
+  noteResponseStarted(): void {
     // Not used by these tests.
   }
-  mayBeWaiting(): boolean {
+  mayBeQueued(): boolean {
     return false;
   }
 }
@@ -134,7 +134,7 @@
     version: 1,
     deadlineMs: 5000,
     arrivedAtMs: 0,
-    firstAskedAtMs: 0,
+    firstAttemptAtMs: 0,
     sink,
   });
   return { sender, end, waitingCount: () => forwarder.waitingCount };
--- a/packages/forwarding/src/guarded-content.ts
+++ b/packages/forwarding/src/guarded-content.ts
@@ -48,7 +48,7 @@
 
   /** Number of endpoint crashes attributed to the content, as known when it is sent. */
   get crashes(): number {
-    const known = this.guard.isIdle ? 0 : this.guard.crashesOf(this.key);
+    const known = this.guard.isIdle ? 0 : this.guard.crashCountOf(this.key);
     return Math.max(known, this.brokenSends);
   }
 
@@ -57,7 +57,7 @@
    * sent.
    */
   async admit(): Promise<number> {
-    const isQuarantined = this.guard.heldMs(this.key) > 0;
+    const isQuarantined = this.guard.quarantinedForMs(this.key) > 0;
     const admission = await this.guard.admit(this.key);
     if (!admission.isAdmitted) return admission.retryAfterMs;
     this.isTrialRequest = isQuarantined;
@@ -67,8 +67,8 @@
   /**
    * Current remaining quarantine time: the content may have been quarantined since it was admitted.
    */
-  get heldMs(): number {
-    return this.guard.isIdle || this.isTrialRequest ? 0 : this.guard.heldMs(this.key);
+  get quarantinedForMs(): number {
+    return this.guard.isIdle || this.isTrialRequest ? 0 : this.guard.quarantinedForMs(this.key);
   }
 
   /** Reports the end of a send to the guard. */
@@ -81,11 +81,11 @@
       this.brokenSends += 1;
       const { requestId } = this.request;
       const contentKey = this.key;
-      this.guard.brokeOff({ endpointId, address, requestId, contentKey, ...send });
+      this.guard.noteBrokenSend({ endpointId, address, requestId, contentKey, ...send });
       return;
     }
     const isExecuted = result.kind === 'complete' || result.kind === 'failure';
-    if (isExecuted && !this.guard.isIdle) this.guard.survived(this.key);
+    if (isExecuted && !this.guard.isIdle) this.guard.noteExecuted(this.key);
   }
 }
 
--- a/packages/forwarding/src/listening-probe.ts
+++ b/packages/forwarding/src/listening-probe.ts
@@ -14,12 +14,12 @@
 
 /** Checks whether a process listens at an address. */
 export interface ListeningProbe {
-  look(address: string): Promise<ListeningState>;
+  probe(address: string): Promise<ListeningState>;
 }
 
 /** {@link ListeningProbe} that opens a TCP connection and closes it at once. */
 export class ConnectionProbe implements ListeningProbe {
-  look(address: string): Promise<ListeningState> {
+  probe(address: string): Promise<ListeningState> {
     const { hostname, port } = new URL(`http://${address}`);
     return new Promise((resolve) => {
       const socket = connect({ host: hostname, port: Number(port) });
--- a/packages/forwarding/src/silent-connections.test.ts
+++ b/packages/forwarding/src/silent-connections.test.ts
@@ -12,7 +12,7 @@
 import test from 'ava';
 import type { Route } from '@shedline/fleet';
 import { createLogger } from '@shedline/logger';
-import { CuttableRelay, describe, title } from '@shedline/test-utils';
+import { PartitionRelay, describe, title } from '@shedline/test-utils';
 import type { ChosenEndpoint } from './endpoint-queue.js';
 import { EndpointSender } from './endpoint-sender.js';
 import type { ResponseSink, EndpointChooser, ForwardEnd } from './forward-task.js';
@@ -57,10 +57,10 @@
 
 /** An endpoint behind a relay; for `/hold` it sends one event and does not end the response. */
 class RelayedEndpoint {
-  readonly relay: CuttableRelay;
+  readonly relay: PartitionRelay;
   private readonly server: Server;
 
-  private constructor(server: Server, relay: CuttableRelay) {
+  private constructor(server: Server, relay: PartitionRelay) {
     this.server = server;
     this.relay = relay;
   }
@@ -77,7 +77,7 @@
     await new Promise<void>((resolve) => {
       server.listen(0, '127.0.0.1', resolve);
     });
-    const relay = await CuttableRelay.start(() => (server.address() as AddressInfo).port);
+    const relay = await PartitionRelay.start(() => (server.address() as AddressInfo).port);
     return new RelayedEndpoint(server, relay);
   }
 
@@ -90,7 +90,7 @@
 
 /** Chooses the endpoints in turn, and counts the sends in progress. */
 class RoundRobinChooser implements EndpointChooser {
-  readonly knownWithinMs = 1000;
+  readonly announcedWithinMs = 1000;
   inFlight = 0;
   private readonly endpoints: readonly RelayedEndpoint[];
   private nextIndex = 0;
@@ -110,23 +110,23 @@
     return free[this.nextIndex % Math.max(1, free.length)];
   }
 
-  capacity(): { slots: number; sharers: number } {
-    return { slots: 100, sharers: 1 };
+  capacity(): { slots: number; entryCount: number } {
+    return { slots: 100, entryCount: 1 };
   }
 
-  began(): void {
+  noteSendStarted(): void {
     this.inFlight += 1;
   }
 
-  ended(): void {
+  noteSendEnded(): void {
     this.inFlight -= 1;
   }
 
-  answers(): void {
+  noteResponseStarted(): void {
     // Not used by these tests.
   }
 
-  mayBeWaiting(): boolean {
+  mayBeQueued(): boolean {
     return false;
   }
 }
@@ -139,7 +139,7 @@
     this.onEvent = onEvent;
   }
 
-  head(): void {
+  sendHead(): void {
     // Only the end of the request is checked.
   }
   write(): boolean {
@@ -152,13 +152,13 @@
   end(): void {
     // The forwarder reports the end.
   }
-  cut(): void {
+  abort(): void {
     // The forwarder reports the end.
   }
   refuse(): void {
     // The forwarder reports the end.
   }
-  onGone(): void {
+  onDisconnect(): void {
     // Never disconnects.
   }
 }
@@ -201,7 +201,7 @@
       version: 1,
       deadlineMs: nowMs + DEADLINE_MS,
       arrivedAtMs: nowMs,
-      firstAskedAtMs: nowMs,
+      firstAttemptAtMs: nowMs,
       sink: new WaitingCaller(() => {
         this.events += 1;
       }),
@@ -214,7 +214,7 @@
       this.request(route),
     );
     await Promise.all(all);
-    for (const { relay } of this.endpoints) relay.silenceOpen();
+    for (const { relay } of this.endpoints) relay.stallOpenConnections();
   }
 
   /** Sends requests while the old connections are unresponsive; returns how they end. */
@@ -260,7 +260,7 @@
     });
     while (setup.events === 0) await pause(5);
     t.is(setup.chooser.inFlight, 1);
-    setup.endpoints[0]?.relay.silenceOpen();
+    setup.endpoints[0]?.relay.stallOpenConnections();
     while (setup.chooser.inFlight > 0) await pause(5);
     t.false(hasEnded);
     const end = await heldRequest;
--- a/packages/gateway/src/api-key-authenticator.ts
+++ b/packages/gateway/src/api-key-authenticator.ts
@@ -16,7 +16,7 @@
 const STALE_RETRY_MS = 300;
 
 /** Response to a caller that is not authenticated. */
-export interface KeyRefusal {
+export interface AuthenticationRefusal {
   readonly status: 401 | 503;
   readonly retryAfterMs?: number;
 }
@@ -24,9 +24,9 @@
 /**
  * Workspace of an authenticated caller (undefined if the route requires no API key), or a refusal.
  */
-export type KeyVerdict =
-  | { readonly isIn: true; readonly workspace: Workspace | undefined }
-  | { readonly isIn: false; readonly refusal: KeyRefusal };
+export type AuthenticationResult =
+  | { readonly isAuthenticated: true; readonly workspace: Workspace | undefined }
+  | { readonly isAuthenticated: false; readonly refusal: AuthenticationRefusal };
 
 /** Options of {@link ApiKeyAuthenticator}. */
 export interface ApiKeyAuthenticatorOptions {
@@ -49,12 +49,14 @@
     routes: RouteTable,
     route: Route,
     { apiKey, requestId }: { readonly apiKey: string | undefined; readonly requestId: string },
-  ): KeyVerdict {
-    return match<ReturnType<RouteTable['access']>, KeyVerdict>(routes.access(route, apiKey))
-      .with({ kind: 'anyone' }, () => ({ isIn: true, workspace: undefined }))
-      .with({ kind: 'workspace' }, ({ workspace }) => ({ isIn: true, workspace }))
+  ): AuthenticationResult {
+    return match<ReturnType<RouteTable['access']>, AuthenticationResult>(
+      routes.access(route, apiKey),
+    )
+      .with({ kind: 'anyone' }, () => ({ isAuthenticated: true, workspace: undefined }))
+      .with({ kind: 'workspace' }, ({ workspace }) => ({ isAuthenticated: true, workspace }))
       .with({ kind: 'refused' }, ({ reason }) => ({
-        isIn: false,
+        isAuthenticated: false,
         refusal: this.refuse({ reason, requestId, route: route.name, version: routes.version }),
       }))
       .exhaustive();
@@ -65,7 +67,7 @@
     readonly requestId: string;
     readonly route: string;
     readonly version: number;
-  }): KeyRefusal {
+  }): AuthenticationRefusal {
     const { reason, requestId: request, route, version } = refused;
     const controlSilenceMs = Math.round(this.options.controlSilenceMs());
     const mayBeNew = reason === 'unknown key' && controlSilenceMs > MAX_CONTROL_SILENCE_MS;
--- a/packages/gateway/src/crash-detector.test.ts
+++ b/packages/gateway/src/crash-detector.test.ts
@@ -15,7 +15,7 @@
   readonly crashed: string[] = [];
   readonly detector = new CrashDetector({
     probe: {
-      look: () => {
+      probe: () => {
         this.probeCount += 1;
         return Promise.resolve(this.state);
       },
--- a/packages/gateway/src/crash-detector.ts
+++ b/packages/gateway/src/crash-detector.ts
@@ -96,7 +96,7 @@
   }
 
   private async probePort(endpointId: string, address: string): Promise<boolean> {
-    const state = await this.options.probe.look(address);
+    const state = await this.options.probe.probe(address);
     // It may have announced that it leaves, and stopped, during the probe.
     if (state !== 'closed' || this.options.isLeaving(endpointId)) return false;
     this.recordCrash(endpointId, 'closed port');
--- a/packages/gateway/src/crash-guard.test.ts
+++ b/packages/gateway/src/crash-guard.test.ts
@@ -57,7 +57,9 @@
 
   /** Simulates a crash of an endpoint while it processes a content. */
   crash(contentKey: string, hasBegun = false): void {
-    this.guard.brokeOff(brokenSend(contentKey, this.guard.crashesOf(contentKey), hasBegun));
+    this.guard.noteBrokenSend(
+      brokenSend(contentKey, this.guard.crashCountOf(contentKey), hasBegun),
+    );
   }
 }
 
@@ -84,13 +86,13 @@
       await until(() => fleet.commands === 2);
       third.follow(fleet);
       t.deepEqual(await third.guard.admit('bad'), { isAdmitted: false, retryAfterMs: 60_000 });
-      t.is(third.guard.heldMs('bad'), 60_000);
+      t.is(third.guard.quarantinedForMs('bad'), 60_000);
       t.deepEqual(await third.guard.admit('other'), { isAdmitted: true });
       t.is(third.guard.heldCount, 1);
 
       const restarted = new Entry(fleet);
       restarted.follow(fleet);
-      t.is(restarted.guard.heldMs('bad'), 60_000, 'an entry that has just started');
+      t.is(restarted.guard.quarantinedForMs('bad'), 60_000, 'an entry that has just started');
     },
   );
 
@@ -107,11 +109,11 @@
       for (const entry of entries) {
         entry.follow(fleet);
         entry.nowMs += 60_000;
-        t.true(entry.guard.heldMs('bad') > 0, 'no trial request was permitted yet');
+        t.true(entry.guard.quarantinedForMs('bad') > 0, 'no trial request was permitted yet');
       }
       const admissions = await Promise.all(entries.map(({ guard }) => guard.admit('bad')));
       t.is(admissions.filter(({ isAdmitted }) => isAdmitted).length, 1);
-      entries[0]?.guard.survived('bad');
+      entries[0]?.guard.noteExecuted('bad');
       await until(() => fleet.state.deltaSince(START).crashes?.records[0]?.crashes === 0);
       for (const entry of entries) {
         entry.follow(fleet);
@@ -128,12 +130,12 @@
       for (let crash = 0; crash < 2; crash += 1) {
         entry.crash('bad');
         entry.crash('popular');
-        entry.guard.survived('popular');
+        entry.guard.noteExecuted('popular');
       }
       await until(() => fleet.commands > 0);
       entry.follow(fleet);
-      t.is(entry.guard.heldMs('popular'), 0);
-      t.true(entry.guard.heldMs('bad') > 0);
+      t.is(entry.guard.quarantinedForMs('popular'), 0);
+      t.true(entry.guard.quarantinedForMs('bad') > 0);
     },
   );
 
@@ -156,7 +158,7 @@
       }
       for (const { guard } of entries) {
         t.deepEqual(await guard.admit('popular'), { isAdmitted: true });
-        t.is(guard.heldMs('bad'), 60_000);
+        t.is(guard.quarantinedForMs('bad'), 60_000);
       }
     },
   );
@@ -178,7 +180,7 @@
       t.is(fleet.state.deltaSince(START).crashes?.records[0]?.crashes, 2);
       entry.nowMs += HOUR_MS;
       entry.follow(fleet);
-      t.true(entry.guard.heldMs('bad') > 0);
+      t.true(entry.guard.quarantinedForMs('bad') > 0);
     },
   );
 
--- a/packages/gateway/src/crash-guard.ts
+++ b/packages/gateway/src/crash-guard.ts
@@ -38,7 +38,7 @@
 
   /** Number of contents that are quarantined. */
   get heldCount(): number {
-    return this.records.heldCount;
+    return this.records.quarantinedCount;
   }
 
   async admit(contentKey: string): Promise<Admission> {
@@ -56,25 +56,25 @@
     return isPermitted ? { isAdmitted: true } : { isAdmitted: false, retryAfterMs: TRIAL_RETRY_MS };
   }
 
-  heldMs(contentKey: string): number {
+  quarantinedForMs(contentKey: string): number {
     const status = this.records.status(contentKey);
     if (status.kind === 'free') return 0;
     return status.kind === 'held' ? status.forMs : TRIAL_RETRY_MS;
   }
 
-  crashesOf(contentKey: string): number {
-    return this.records.crashesOf(contentKey);
+  crashCountOf(contentKey: string): number {
+    return this.records.crashCountOf(contentKey);
   }
 
-  brokeOff(send: BrokenSend): void {
+  noteBrokenSend(send: BrokenSend): void {
     void this.options.crashDetector.whenCrashed(send.endpointId, send.address, () => {
       this.recordCrash(send);
     });
   }
 
-  survived(contentKey: string): void {
-    const crashes = this.records.crashesOf(contentKey);
-    if (!this.records.survived(contentKey)) return;
+  noteExecuted(contentKey: string): void {
+    const crashes = this.records.crashCountOf(contentKey);
+    if (!this.records.recordSurvival(contentKey)) return;
     this.options.logger.info('content released from quarantine', {
       step: 'hold',
       content: contentKey,
@@ -85,11 +85,11 @@
 
   /** Applies changes of the fleet's record of crashes. */
   applyChanges(changes: CrashChanges, from: string): void {
-    for (const content of this.records.take(changes)) {
+    for (const content of this.records.applyChanges(changes)) {
       this.options.logger.info('content quarantined', {
         step: 'hold',
         content,
-        crashes: this.records.crashesOf(content),
+        crashes: this.records.crashCountOf(content),
         change: changes.number,
         peer: from,
       });
@@ -98,7 +98,7 @@
 
   private recordCrash(send: BrokenSend): void {
     const { contentKey, knownCrashes, hasBegun, requestId, endpointId } = send;
-    this.records.crashed(contentKey, { knownCrashes, hasBegun });
+    this.records.recordCrash(contentKey, { knownCrashes, hasBegun });
     this.options.reporter.reportCrash({ contentKey, knownCrashes, hasBegun });
     this.options.logger.info('endpoint crashed while processing content', {
       step: 'hold',
@@ -106,7 +106,7 @@
       endpoint: endpointId,
       content: contentKey,
       hasBegun,
-      crashes: this.records.crashesOf(contentKey),
+      crashes: this.records.crashCountOf(contentKey),
     });
   }
 }
--- a/packages/gateway/src/crash-reporter.ts
+++ b/packages/gateway/src/crash-reporter.ts
@@ -7,7 +7,7 @@
 import { FLEET_GROUP } from '@shedline/fleet-control';
 import type { FleetAnswer } from '@shedline/fleet';
 import type { Logger } from '@shedline/logger';
-import type { BeginTrial, CrashUnderContent, RecordCrashes } from '@shedline/quarantine';
+import type { BeginTrial, ContentCrash, RecordCrashes } from '@shedline/quarantine';
 
 /**
  * Time for which reports are collected into one command: all requests at a crashed endpoint break
@@ -37,7 +37,7 @@
 /** Sends the reports, one command at a time. */
 export class CrashReporter {
   private readonly options: CrashReporterOptions;
-  private crashed: CrashUnderContent[] = [];
+  private crashed: ContentCrash[] = [];
   private survived: string[] = [];
   private sending: Promise<void> | undefined;
   private isClosed = false;
@@ -47,7 +47,7 @@
   }
 
   /** Reports a crash of an endpoint while it processed a content. */
-  reportCrash(crash: CrashUnderContent): void {
+  reportCrash(crash: ContentCrash): void {
     if (!this.canQueue(this.crashed)) return;
     this.crashed.push(crash);
     this.startSending();
--- a/packages/gateway/src/endpoint-pool.test.ts
+++ b/packages/gateway/src/endpoint-pool.test.ts
@@ -98,7 +98,7 @@
     for (let send = 0; send <= SLOTS + QUEUED; send += 1) {
       const endpoint = setup.pool.choose(SERVICE, NONE);
       chosen.push(endpoint?.endpointId);
-      if (endpoint !== undefined) setup.pool.began(endpoint.endpointId);
+      if (endpoint !== undefined) setup.pool.noteSendStarted(endpoint.endpointId);
     }
     t.deepEqual(chosen, [...Array<string>(SLOTS + QUEUED).fill('a'), 'b']);
     t.deepEqual(
@@ -124,7 +124,7 @@
       const availabilityZone = index === 0 ? 'z' : 'other';
       setup.pool.observeHeartbeats([heartbeatOf({ endpointId, sequence: 1, availabilityZone })]);
     }
-    for (let send = 0; send < SLOTS + QUEUED; send += 1) setup.pool.began('a');
+    for (let send = 0; send < SLOTS + QUEUED; send += 1) setup.pool.noteSendStarted('a');
     const chosen = new Map<string, number>();
     for (let send = 0; send < 1000; send += 1) {
       const endpointId = setup.pool.choose(SERVICE, NONE)?.endpointId ?? 'none';
@@ -169,9 +169,9 @@
       const setup = new Setup();
       setup.observe('stopped', 'b', 'c', 'd');
       t.true(setup.isUsable('stopped'));
-      setup.pool.began('stopped');
+      setup.pool.noteSendStarted('stopped');
       const outcome = { kind: 'refused', status: 421 } as const;
-      setup.pool.ended('stopped', { kind: 'ended', outcome }, undefined);
+      setup.pool.noteSendEnded('stopped', { kind: 'ended', outcome }, undefined);
       t.false(setup.isUsable('stopped'));
       t.true(setup.hasUsableEndpoint());
     },
@@ -181,9 +181,9 @@
     const setup = new Setup();
     setup.observe('a', 'b', 'c');
     for (const endpointId of ['a', 'b']) {
-      setup.pool.began(endpointId);
+      setup.pool.noteSendStarted(endpointId);
       const outcome = { kind: 'notSent', reason: 'ECONNREFUSED' } as const;
-      setup.pool.ended(endpointId, { kind: 'ended', outcome }, undefined);
+      setup.pool.noteSendEnded(endpointId, { kind: 'ended', outcome }, undefined);
     }
     setup.pool.markDown('c');
     for (const endpointId of ['a', 'b', 'c'])
@@ -202,9 +202,9 @@
     const setup = new Setup();
     setup.observe('a', 'b', 'c');
     const timeOut = (kind: 'brokeOff' | 'lost'): void => {
-      setup.pool.began('a');
+      setup.pool.noteSendStarted('a');
       const outcome = { kind, reason: 'silent', isSilence: true } as const;
-      setup.pool.ended('a', { kind: 'ended', outcome }, undefined);
+      setup.pool.noteSendEnded('a', { kind: 'ended', outcome }, undefined);
     };
     for (let send = 0; send < 5; send += 1) timeOut('brokeOff');
     t.true(setup.isUsable('a'));
@@ -225,14 +225,14 @@
   test(title('takes work at once, with a load of zero'), (t) => {
     const setup = new Setup();
     setup.observeRun('a', 1000, 40);
-    for (let send = 0; send < SLOTS; send += 1) setup.pool.began(FIRST_RUN);
+    for (let send = 0; send < SLOTS; send += 1) setup.pool.noteSendStarted(FIRST_RUN);
     setup.pool.observePeerLoads('peer', [{ endpointId: FIRST_RUN, online: 2, batch: 0 }]);
     setup.observeRun('a', 2000, 1);
     t.false(setup.isUsable(FIRST_RUN));
     t.like(setup.pool.choose(SERVICE, NONE), { endpointId: SECOND_RUN, load: 0 });
     t.deepEqual(setup.replaced, ['a:1']);
     // The outcomes of requests to the previous incarnation have no effect.
-    setup.pool.ended(FIRST_RUN, { kind: 'stopped' }, undefined);
+    setup.pool.noteSendEnded(FIRST_RUN, { kind: 'stopped' }, undefined);
     t.deepEqual(setup.pool.ownLoads(), []);
   });
 
@@ -241,8 +241,8 @@
     setup.observe('b', 'c', 'd');
     setup.observeRun('a', 1000, 1);
     const outcome = { kind: 'notSent', reason: 'refused' } as const;
-    setup.pool.began(FIRST_RUN);
-    setup.pool.ended(FIRST_RUN, { kind: 'ended', outcome }, undefined);
+    setup.pool.noteSendStarted(FIRST_RUN);
+    setup.pool.noteSendEnded(FIRST_RUN, { kind: 'ended', outcome }, undefined);
     t.false(setup.isUsable(FIRST_RUN));
     setup.observeRun('a', 2000, 1);
     t.true(setup.isUsable(SECOND_RUN));
@@ -274,7 +274,7 @@
       const fillSlots = (): number => {
         let sent = 0;
         for (; started.pool.choose(SERVICE, NONE) !== undefined && sent < 100; sent += 1) {
-          started.pool.began(FIRST_OF_A);
+          started.pool.noteSendStarted(FIRST_OF_A);
         }
         return sent;
       };
--- a/packages/gateway/src/endpoint-pool.ts
+++ b/packages/gateway/src/endpoint-pool.ts
@@ -10,7 +10,7 @@
 import type { ChosenEndpoint, EndpointChooser, SendResult } from '@shedline/forwarding';
 import { LoadView, SlotRouting } from '@shedline/routing';
 import type { SlotCandidate } from '@shedline/routing';
-import type { Announcement, ChoiceTerms } from '@shedline/types';
+import type { Announcement, ChoiceOptions } from '@shedline/types';
 
 /** Heartbeat intervals after which the lease of an endpoint expires. */
 const MISSED_HEARTBEATS = 3;
@@ -90,8 +90,8 @@
 export class EndpointPool implements EndpointChooser {
   private readonly options: EndpointPoolOptions;
   private readonly leaseClock = new LeaseClock({
-    usualSilenceMs: USUAL_CONTROL_SILENCE_MS,
-    longestSilenceMs: LONGEST_CONTROL_SILENCE_MS,
+    pauseAfterMs: USUAL_CONTROL_SILENCE_MS,
+    resumeAfterMs: LONGEST_CONTROL_SILENCE_MS,
   });
   private readonly startedAtMs: number;
   private readonly directory: EndpointDirectory;
@@ -117,7 +117,7 @@
   /** Applies heartbeats relayed by a control process; returns whether an incarnation is new. */
   observeHeartbeats(heartbeats: readonly AgedHeartbeat[]): boolean {
     const nowMs = this.options.nowMs();
-    this.leaseClock.heard(nowMs);
+    this.leaseClock.messageReceived(nowMs);
     let isAnyNew = false;
     for (const { heartbeat, ageMs } of heartbeats) {
       if (!this.isOfLatestRun(heartbeat, ageMs)) continue;
@@ -150,9 +150,9 @@
 
   /** Removes an incarnation with its health and load state. */
   private forget(runId: string): void {
-    this.directory.forget(runId);
+    this.directory.remove(runId);
     this.addresses.delete(runId);
-    this.loads.forget(runId);
+    this.loads.remove(runId);
   }
 
   /** Marks endpoints that drain or deregister: no new work is sent to them. */
@@ -176,14 +176,14 @@
   /** Removes endpoints whose leases have expired; returns the addresses still in use. */
   sweep(): ReadonlySet<string> {
     const nowMs = this.options.nowMs();
-    this.directory.forgetSilent(nowMs);
+    this.directory.forgetExpired(nowMs);
     const live = this.directory.live(nowMs).map((known) => known.announcement.endpointId);
     const liveIds = new Set(live);
     for (const runId of this.addresses.keys()) {
       if (!liveIds.has(runId)) this.addresses.delete(runId);
     }
     // Other entries also report loads of incarnations that are unknown or already removed here.
-    this.loads.keepOnly(liveIds);
+    this.loads.removeAllExcept(liveIds);
     for (const [endpointId, heartbeat] of this.latestHeartbeats) {
       if (this.directory.get(runIdOf(heartbeat)) === undefined)
         this.latestHeartbeats.delete(endpointId);
@@ -198,7 +198,7 @@
   usableInSubset(service: string): SlotCandidate[] {
     const nowMs = this.options.nowMs();
     return [...this.options.inSubset()].flatMap((endpointId) => {
-      const known = this.directory.oneForService(endpointId, service, nowMs);
+      const known = this.directory.endpointForService(endpointId, service, nowMs);
       return known === undefined ? [] : [this.candidateOf(known, nowMs)];
     });
   }
@@ -227,9 +227,9 @@
   choose(
     service: string,
     tried: ReadonlySet<string>,
-    terms: ChoiceTerms = {},
+    options: ChoiceOptions = {},
   ): ChosenEndpoint | undefined {
-    const chosen = this.chooseCandidate(service, tried, terms);
+    const chosen = this.chooseCandidate(service, tried, options);
     if (chosen === undefined) return undefined;
     const { endpointId, online, batch, slots } = chosen;
     const address = this.addresses.get(endpointId);
@@ -243,25 +243,25 @@
       .forService(service, this.options.nowMs())
       .filter(({ announcement }) => !excluded.has(announcement.endpointId));
     const slots = known.reduce((sum, { announcement }) => sum + announcement.load.capacity, 0);
-    return { slots, sharers: this.options.entryCount() };
+    return { slots, entryCount: this.options.entryCount() };
   }
 
-  get knownWithinMs(): number {
+  get announcedWithinMs(): number {
     return this.options.heartbeatMs;
   }
 
-  began(endpointId: string): void {
+  noteSendStarted(endpointId: string): void {
     this.changeLoad(endpointId, 'online', 1);
     this.directory.sent(endpointId);
   }
 
-  ended(endpointId: string, result: SendResult, firstPartMs: number | undefined): void {
+  noteSendEnded(endpointId: string, result: SendResult, firstPartMs: number | undefined): void {
     this.changeLoad(endpointId, 'online', -1);
     this.recordOutcome(endpointId, result, firstPartMs);
   }
 
-  answers(endpointId: string): void {
-    this.directory.answers(endpointId);
+  noteResponseStarted(endpointId: string): void {
+    this.directory.responseStarted(endpointId);
   }
 
   /** Counts a batch item that begins (1) or ends (-1) at an endpoint. */
@@ -294,7 +294,7 @@
     else this.directory.failed(endpointId, nowMs);
   }
 
-  mayBeWaiting(endpointId: string): boolean {
+  mayBeQueued(endpointId: string): boolean {
     const known = this.directory.get(endpointId);
     if (known === undefined) return false;
     const { online, batch, slots } = this.candidateOf(known, this.options.nowMs());
@@ -303,14 +303,14 @@
 
   /** Returns the load from this entry by endpoint. */
   ownLoads(): LoadCount[] {
-    return this.loads.own();
+    return this.loads.ownCounts();
   }
 
   /** Applies the loads reported by another entry. */
   observePeerLoads(from: string, counts: readonly LoadCount[]): void {
     const nowMs = this.options.nowMs();
     for (const { endpointId, online, batch } of counts) {
-      this.loads.peerCount(endpointId, from, { online, batch }, nowMs);
+      this.loads.recordPeerCounts(endpointId, from, { online, batch }, nowMs);
     }
   }
 
@@ -329,13 +329,13 @@
   private chooseCandidate(
     service: string,
     tried: ReadonlySet<string>,
-    terms: ChoiceTerms,
+    options: ChoiceOptions,
   ): SlotCandidate | undefined {
     const isUntried = ({ endpointId }: SlotCandidate): boolean => !tried.has(endpointId);
     const usable = this.usableInSubset(service).filter(isUntried);
-    const mayQueue = terms.mayQueue !== false && !this.areLoadsUnknown;
+    const mayQueue = options.mayQueue !== false && !this.areLoadsUnknown;
     const zone = this.options.availabilityZone;
-    const chosen = this.routing.choose(usable, zone, { ...terms, mayQueue });
+    const chosen = this.routing.choose(usable, zone, { ...options, mayQueue });
     if (chosen !== undefined || this.hasEnoughUsable(usable.length)) return chosen;
     return this.chooseOutsideSubset(this.usable(service).filter(isUntried));
   }
@@ -362,7 +362,7 @@
     if (result.kind !== 'ended' || !('isSilence' in result.outcome)) return false;
     const hasBegun = result.outcome.kind === 'brokeOff';
     this.options.onTimeout(hasBegun ? 'begun' : 'notBegun');
-    return hasBegun || this.mayBeWaiting(endpointId);
+    return hasBegun || this.mayBeQueued(endpointId);
   }
 
   private eject(endpointId: string): void {
@@ -373,7 +373,7 @@
   }
 
   private changeLoad(endpointId: string, kind: 'online' | 'batch', by: 1 | -1): void {
-    this.loads.change(endpointId, kind, by);
+    this.loads.recordChange(endpointId, kind, by);
     this.options.onLoadChange(endpointId);
   }
 
--- a/packages/gateway/src/fleet-follower.ts
+++ b/packages/gateway/src/fleet-follower.ts
@@ -126,7 +126,7 @@
   }
 
   private apply(delta: FleetDelta, from: string): void {
-    const { newlyLeaving, routesChanged, crashes } = this.fleet.take(delta);
+    const { newlyLeaving, routesChanged, crashes } = this.fleet.applyDelta(delta);
     if (crashes !== undefined) this.options.onCrashes(crashes, from);
     const { logger } = this.options;
     if (routesChanged) {
--- a/packages/gateway/src/gateway-process.ts
+++ b/packages/gateway/src/gateway-process.ts
@@ -6,7 +6,7 @@
 import { LeaderCaller } from '@shedline/control-client';
 import type { ZonedName } from '@shedline/directory';
 import type { AgedHeartbeat, CallerLimits, FleetDelta, RouteTable } from '@shedline/fleet';
-import { ProcessCore, portsOf, quotaTolerance } from '@shedline/fleet-control';
+import { ProcessCore, callPortsOf, quotaTolerance } from '@shedline/fleet-control';
 import type { JobEndedMessage } from '@shedline/fleet-control';
 import { ConnectionProbe, EndpointSender, Forwarder } from '@shedline/forwarding';
 import type { ResponseSink, EndpointProtocol } from '@shedline/forwarding';
@@ -75,7 +75,7 @@
 export class GatewayProcess {
   readonly core: ProcessCore;
   readonly jobs: JobService;
-  readonly keys: ApiKeyAuthenticator;
+  readonly authenticator: ApiKeyAuthenticator;
   readonly metrics = new ProcessMetrics();
   private readonly settings: FleetSettings;
   private readonly logger: Logger;
@@ -150,7 +150,7 @@
       usersOf,
     });
     this.controlCaller = new LeaderCaller({
-      ports: () => portsOf(this.core.mesh.controls),
+      ports: () => callPortsOf(this.core.mesh.controls),
       maxAttemptMs: MAX_CONTROL_ATTEMPT_MS,
       maxPauseMs: MAX_CONTROL_PAUSE_MS,
     });
@@ -216,7 +216,7 @@
       usersOf: (endpointId) => this.subsetTracker.batchUsersOf(endpointId),
       entryCount: () => this.subsetTracker.batchEntryCount,
     });
-    this.keys = new ApiKeyAuthenticator({
+    this.authenticator = new ApiKeyAuthenticator({
       controlSilenceMs: () => this.follower.controlSilenceMs,
       metrics: this.metrics,
       logger,
@@ -267,7 +267,7 @@
   }
 
   /** Holds a request until the routes are known; returns the time in ms for which it was held. */
-  async untilStarted(caller: DisconnectNotifier): Promise<number> {
+  async waitUntilStarted(caller: DisconnectNotifier): Promise<number> {
     return this.knowsRoutes ? 0 : this.startupGate.pass(caller);
   }
 
@@ -442,12 +442,18 @@
       () => this.follower.controlSilenceMs,
     );
     this.metrics.gauge('shedline_state_age_milliseconds', () => this.follower.stateAgeMs);
-    this.metrics.gauge('shedline_silent_control_processes', () => this.core.mesh.silentCore.length);
+    this.metrics.gauge(
+      'shedline_silent_control_processes',
+      () => this.core.mesh.missingCore.length,
+    );
   }
 
   /** Fails the requests that were in progress at the previous incarnation of an endpoint. */
   private onEndpointRestarted(address: string, heartbeatAgeMs: number): void {
-    const lostSends = this.sender.loseUnheard(address, performance.now() - heartbeatAgeMs);
+    const lostSends = this.sender.failUnresponsiveSends(
+      address,
+      performance.now() - heartbeatAgeMs,
+    );
     this.logger.info('endpoint restarted', { step: 'endpoint', peer: address, lostSends });
   }
 
@@ -502,7 +508,7 @@
     this.storeConnections.update();
     const inUse = this.pool.sweep();
     for (const address of this.sender.addresses) {
-      if (!inUse.has(address)) this.sender.forget(address);
+      if (!inUse.has(address)) this.sender.closeConnectionsTo(address);
     }
   }
 }
--- a/packages/gateway/src/item-run.ts
+++ b/packages/gateway/src/item-run.ts
@@ -74,7 +74,7 @@
         headers: protocol.sendHeaders(request, terms),
         body: request.body,
         mayBeRepeated: true,
-        silence: { limitMs: MAX_DATA_GAP_MS, then: 'giveUp' },
+        silence: { limitMs: MAX_DATA_GAP_MS, action: 'giveUp' },
       },
       {
         onHead: () => undefined,
--- a/packages/gateway/src/item-runner.test.ts
+++ b/packages/gateway/src/item-runner.test.ts
@@ -139,7 +139,7 @@
 function createRunner(stores: FakeStores, sender: RequestSender, hasCrashed = false): ItemRunner {
   const nowMs = (): number => performance.now();
   const fleet = new KnownFleet();
-  fleet.take({
+  fleet.applyDelta({
     position: { version: 1, leaveCount: 0 },
     leaving: [],
     retiringStores: [],
--- a/packages/gateway/src/item-runner.ts
+++ b/packages/gateway/src/item-runner.ts
@@ -286,7 +286,7 @@
     this.startedRunCount += 1;
     const runNumber = this.startedRunCount;
     const onFirstEvent = (): void => {
-      pool.answers(endpointId);
+      pool.noteResponseStarted(endpointId);
     };
     const target = { endpointId, address, sender, protocol, nowMs, onFirstEvent };
     const run = new ItemRun({ runNumber, group, granted, ...target });
--- a/packages/gateway/src/job-service.ts
+++ b/packages/gateway/src/job-service.ts
@@ -20,7 +20,7 @@
 const SUBMIT_REPLY_MARGIN_MS = 300;
 
 /** Identifies a job of a caller; job ids are unique within a workspace. */
-export interface JobName {
+export interface JobReference {
   readonly host: string;
   readonly jobId: string;
   /** Workspace of the caller; undefined if the route requires no API key. */
@@ -28,7 +28,7 @@
 }
 
 /** A job as submitted by a caller. */
-export interface JobRequest extends JobName {
+export interface JobRequest extends JobReference {
   readonly path: string;
   readonly items: readonly SubmittedItem[];
   /** Time for which the caller still waits for the reply. */
@@ -66,7 +66,7 @@
  * Returns the id of a job in the stores. It includes the workspace, so that a caller with the API
  * key of another workspace cannot detect that the job exists.
  */
-export function storedJobId({ workspace, jobId }: Omit<JobName, 'host'>): string {
+export function storedJobId({ workspace, jobId }: Omit<JobReference, 'host'>): string {
   return workspace === undefined ? jobId : `${encodeURIComponent(workspace)}/${jobId}`;
 }
 
@@ -135,7 +135,7 @@
    * undefined if there is no such job.
    */
   async results(
-    job: JobName,
+    job: JobReference,
     { position, waitMs }: { readonly position: number; readonly waitMs: number },
   ): Promise<ResultsAnswer> {
     const body = { jobId: storedJobId(job), position, waitMs, maxBytes: MAX_RESULTS_BYTES };
@@ -148,14 +148,14 @@
   }
 
   /** Returns the body of an item; undefined if there is none. */
-  async body(job: JobName, itemId: string): Promise<Uint8Array | undefined> {
+  async body(job: JobReference, itemId: string): Promise<Uint8Array | undefined> {
     const body = { jobId: storedJobId(job), itemId };
     const answer = await this.call('itemBody', job.host, body, CALL_TIMEOUT_MS);
     return (answer as BodyAnswer).body;
   }
 
   /** Ends a job at its caller's request. */
-  async end(job: JobName): Promise<EndAnswer> {
+  async end(job: JobReference): Promise<EndAnswer> {
     const body = { jobId: storedJobId(job) };
     const answer = (await this.call('endJob', job.host, body, CALL_TIMEOUT_MS)) as EndAnswer;
     this.options.logger.info('job ended by its caller', {
--- a/packages/gateway/src/overload.test.ts
+++ b/packages/gateway/src/overload.test.ts
@@ -160,11 +160,11 @@
     const queued = entry.queue.enter({
       service: SERVICE,
       tried: new Set(),
-      mayRepeat: true,
+      mayRetryTried: true,
       rank: 0,
-      onTimeUntilMs: sentAtMs + TARGET_MS,
+      targetDeadlineMs: sentAtMs + TARGET_MS,
       deadlineMs: sentAtMs + DEADLINE_MS,
-      beginByMs: sentAtMs + CALLER_TIMEOUT_MS,
+      firstEventDeadlineMs: sentAtMs + CALLER_TIMEOUT_MS,
     });
     const endpoint = await queued.endpoint;
     const second = this.secondOf(sentAtMs);
@@ -172,21 +172,25 @@
       second.refused += 1;
       return;
     }
-    const { endpointId, isForLate } = endpoint;
+    const { endpointId, isPastTarget } = endpoint;
     const forwardedAtMs = this.nowMs;
-    let leadMs = 0;
+    let timeToFirstEventMs = 0;
     const engine = this.engineOf(endpointId);
     engine.waiting.push({
       onFirstEvent: () => {
-        leadMs = this.nowMs - forwardedAtMs;
+        timeToFirstEventMs = this.nowMs - forwardedAtMs;
         const tookMs = this.nowMs - sentAtMs;
         if (tookMs <= TARGET_MS) second.withinTarget += 1;
         else if (tookMs <= CALLER_TIMEOUT_MS) second.afterTarget += 1;
         else second.disconnected += 1;
       },
       onComplete: () => {
-        entry.pool.ended(endpointId, { kind: 'complete' }, leadMs);
-        entry.queue.ended(SERVICE, { runMs: this.nowMs - forwardedAtMs, leadMs, isForLate });
+        entry.pool.noteSendEnded(endpointId, { kind: 'complete' }, timeToFirstEventMs);
+        entry.queue.ended(SERVICE, {
+          runMs: this.nowMs - forwardedAtMs,
+          timeToFirstEventMs,
+          isPastTarget,
+        });
       },
     });
     this.admit(engine);
--- a/packages/gateway/src/quota-enforcer.ts
+++ b/packages/gateway/src/quota-enforcer.ts
@@ -86,8 +86,8 @@
   /** Starts the periodic checks and reports. */
   start(): void {
     this.checkTimer = setInterval(() => {
-      this.share.noteEntries(this.options.entryCount());
-      this.share.forgetIdle(this.options.nowMs());
+      this.share.recordEntryCount(this.options.entryCount());
+      this.share.removeIdle(this.options.nowMs());
       this.sendReports();
     }, CHECK_INTERVAL_MS);
   }
@@ -101,7 +101,7 @@
 
   /** Notes workspaces that a control process reported as near their limits. */
   markNearLimit(workspaces: readonly string[]): void {
-    this.share.hearNear(workspaces, this.options.nowMs());
+    this.share.updateNearLimit(workspaces, this.options.nowMs());
   }
 
   /** Decides on a request of a workspace, and counts it if it is admitted. */
@@ -109,9 +109,9 @@
     const { name, limit } = workspace;
     if (limit === undefined) return { mayPass: true };
     const terms = { ...limit, version };
-    const way = this.share.wayOf(name, this.counterOf(name) !== undefined, this.options.nowMs());
-    if (way === 'open') return this.pass(name, terms, way);
-    if (way === 'alone') return this.decideLocally(name, terms);
+    const mode = this.share.modeOf(name, this.counterOf(name) !== undefined, this.options.nowMs());
+    if (mode === 'open') return this.pass(name, terms, mode);
+    if (mode === 'alone') return this.decideLocally(name, terms);
     return this.requestFromCounter(name, terms);
   }
 
@@ -120,20 +120,20 @@
    */
   refund({ name, limit }: Workspace, version: number): void {
     if (limit === undefined) return;
-    this.share.givenBack(name, { ...limit, version }, this.options.nowMs());
+    this.share.recordReturned(name, { ...limit, version }, this.options.nowMs());
     this.scheduleReport();
   }
 
-  private pass(name: string, terms: QuotaTerms, way: 'open' | 'alone' | 'ask'): QuotaVerdict {
-    const isCounted = way === 'ask';
-    this.share.passed(name, terms, { isCounted, nowMs: this.options.nowMs() });
+  private pass(name: string, terms: QuotaTerms, mode: 'open' | 'alone' | 'ask'): QuotaVerdict {
+    const isCounted = mode === 'ask';
+    this.share.recordAdmitted(name, terms, { isCounted, nowMs: this.options.nowMs() });
     if (!isCounted) this.scheduleReport();
-    this.options.metrics.count('shedline_quota_passes_total', { way });
+    this.options.metrics.count('shedline_quota_passes_total', { way: mode });
     return { mayPass: true };
   }
 
   private decideLocally(name: string, terms: QuotaTerms): QuotaVerdict {
-    if (this.share.mayPassAlone(name, terms, this.options.nowMs())) {
+    if (this.share.mayAdmitAlone(name, terms, this.options.nowMs())) {
       return this.pass(name, terms, 'alone');
     }
     return { mayPass: false, status: 503, retryAfterMs: LOCAL_RETRY_MS };
--- a/packages/gateway/src/request-handler.ts
+++ b/packages/gateway/src/request-handler.ts
@@ -109,13 +109,13 @@
       version: routes.version,
       deadlineMs: askedAtMs + limitMs,
       arrivedAtMs: askedAtMs,
-      firstAskedAtMs: askedAtMs - this.callerAgeMs(route, timeLeftMs),
+      firstAttemptAtMs: askedAtMs - this.callerAgeMs(route, timeLeftMs),
       sink,
     });
     if (end === 'refused' && workspace !== undefined) quotas.refund(workspace, routes.version);
     const { name } = route;
     metrics.count('shedline_requests_total', { route: name, outcome: end });
-    metrics.took('shedline_request_milliseconds', { route: name }, nowMs() - askedAtMs);
+    metrics.recordDuration('shedline_request_milliseconds', { route: name }, nowMs() - askedAtMs);
   }
 
   /** Estimates the time since the caller's first attempt from the time that it still waits. */
@@ -124,8 +124,8 @@
     const known = this.timeLimits.get(route.name);
     const timeLimits = known ?? new CallerTimeLimits();
     if (known === undefined) this.timeLimits.set(route.name, timeLimits);
-    timeLimits.note(timeLeftMs);
-    return timeLimits.ageMs(timeLeftMs);
+    timeLimits.record(timeLeftMs);
+    return timeLimits.sinceFirstAttemptMs(timeLeftMs);
   }
 
   private refuseAtShutdown(request: string, sink: ResponseSink): void {
--- a/packages/gateway/src/startup-gate.test.ts
+++ b/packages/gateway/src/startup-gate.test.ts
@@ -7,7 +7,7 @@
 class FakeCaller implements DisconnectNotifier {
   private listeners: (() => void)[] = [];
 
-  onGone(listener: () => void): void {
+  onDisconnect(listener: () => void): void {
     this.listeners.push(listener);
   }
 
--- a/packages/gateway/src/startup-gate.ts
+++ b/packages/gateway/src/startup-gate.ts
@@ -24,7 +24,7 @@
 /** Notifies about the disconnection of a caller. */
 export interface DisconnectNotifier {
   /** Calls the listener once if the caller disconnects before its response ends, or already has. */
-  onGone(listener: () => void): void;
+  onDisconnect(listener: () => void): void;
 }
 
 /** Gate that opens once, when the routes are known. */
@@ -90,7 +90,7 @@
         resolve();
       };
       this.waiters.add(release);
-      caller.onGone(release);
+      caller.onDisconnect(release);
     });
   }
 }
--- a/packages/jobs/src/jobs.ts
+++ b/packages/jobs/src/jobs.ts
@@ -104,7 +104,7 @@
   }
 
   /** Number of results stored since this process started; for rates, not part of the state. */
-  get endedSinceStart(): number {
+  get resultsSinceStart(): number {
     return this.storedResults;
   }
 
--- a/packages/mesh/src/mesh.ts
+++ b/packages/mesh/src/mesh.ts
@@ -76,7 +76,7 @@
     this.controls = new PeerConnections({
       name: options.record.name,
       secret: options.secret,
-      use: 'news',
+      silenceDetection: 'fast',
       ...(options.localAddress === undefined ? {} : { localAddress: options.localAddress }),
       handlers: {
         onRequest: (method, payload, link) => this.onRequest(method, payload, link),
@@ -120,7 +120,7 @@
   }
 
   /** Control processes with a disk that were up and are missing from all lists now. */
-  get silentCore(): readonly PeerAddress[] {
+  get missingCore(): readonly PeerAddress[] {
     return this.knownCore.missing;
   }
 
--- a/packages/metrics/src/process-metrics.test.ts
+++ b/packages/metrics/src/process-metrics.test.ts
@@ -7,7 +7,7 @@
     const metrics = new ProcessMetrics();
     metrics.count('calls_total', { route: 'a', outcome: 'complete' });
     metrics.count('calls_total', { route: 'a', outcome: 'complete' });
-    metrics.took('call_milliseconds', { route: 'a' }, 10);
+    metrics.recordDuration('call_milliseconds', { route: 'a' }, 10);
     let open = 3;
     metrics.gauge('open', () => open);
     open = 4;
--- a/packages/metrics/src/process-metrics.ts
+++ b/packages/metrics/src/process-metrics.ts
@@ -27,7 +27,7 @@
   }
 
   /** Records a duration. */
-  took(name: string, labels: MetricLabels, durationMs: number): void {
+  recordDuration(name: string, labels: MetricLabels, durationMs: number): void {
     const series = seriesOf(this.latencies, name);
     const key = labelText(labels);
     const histogram = series.get(key) ?? new LatencyHistogram();
--- a/packages/quarantine/src/crash-records.ts
+++ b/packages/quarantine/src/crash-records.ts
@@ -13,14 +13,14 @@
 const MAX_RECORDS = 512;
 
 /** A crash of an endpoint that ran a content. */
-export interface CrashUnderContent extends CountedCrash {
+export interface ContentCrash extends CountedCrash {
   readonly contentKey: string;
 }
 
 /** Command that records crashes of endpoints, and contents that ran without a crash. */
 export interface RecordCrashes {
   readonly type: 'recordCrashes';
-  readonly crashed: readonly CrashUnderContent[];
+  readonly crashed: readonly ContentCrash[];
   /** Keys of contents that ran without a crash. */
   readonly survived: readonly string[];
 }
--- a/packages/quarantine/src/known-crashes.ts
+++ b/packages/quarantine/src/known-crashes.ts
@@ -55,13 +55,13 @@
   }
 
   /** Number of quarantined contents. */
-  get heldCount(): number {
+  get quarantinedCount(): number {
     const keys = new Set([...this.fleetRecords.keys(), ...this.localRecords.keys()]);
     return [...keys].filter((key) => this.status(key).kind === 'held').length;
   }
 
   /** Applies changes of the fleet's record; returns the keys of newly quarantined contents. */
-  take({ records, isWhole }: CrashChanges): string[] {
+  applyChanges({ records, isWhole }: CrashChanges): string[] {
     const newlyQuarantined: string[] = [];
     if (isWhole) this.removeUnlisted(new Set(records.map(({ contentKey }) => contentKey)));
     for (const { contentKey, ...record } of records) {
@@ -78,7 +78,7 @@
   }
 
   /** Returns the number of crashes that count against a content. */
-  crashesOf(contentKey: string): number {
+  crashCountOf(contentKey: string): number {
     return this.currentRecord(contentKey).crashes;
   }
 
@@ -92,7 +92,7 @@
   }
 
   /** Records a crash that this entry observed, before the fleet's record includes it. */
-  crashed(contentKey: string, crash: CountedCrash): void {
+  recordCrash(contentKey: string, crash: CountedCrash): void {
     const known = this.currentRecord(contentKey);
     const counted = countCrash(known, crash);
     if (counted === undefined) return;
@@ -107,7 +107,7 @@
   }
 
   /** Records a run without a crash; returns true if crashes were attributed to the content. */
-  survived(contentKey: string): boolean {
+  recordSurvival(contentKey: string): boolean {
     if (!this.localRecords.has(contentKey) && !this.fleetRecords.has(contentKey)) return false;
     this.localRecords.delete(contentKey);
     this.clear(contentKey, this.lastChangeOf(contentKey));
--- a/packages/quarantine/src/quarantine.test.ts
+++ b/packages/quarantine/src/quarantine.test.ts
@@ -23,7 +23,7 @@
   read(records: CrashRecords): string[] {
     const changes = records.changesSince(this.position);
     this.position = changes.number;
-    return this.known.take(changes);
+    return this.known.applyChanges(changes);
   }
 }
 
@@ -91,7 +91,7 @@
         return copy
           .changesSince(-1)
           .records.every(
-            ({ contentKey, crashes }) => entry.known.crashesOf(contentKey) === crashes,
+            ({ contentKey, crashes }) => entry.known.crashCountOf(contentKey) === crashes,
           );
       }),
       { seed: 11, numRuns: 60 },
@@ -111,7 +111,7 @@
       records.apply(crashed('c', 0));
       t.deepEqual(entry.read(records), []);
       t.is(known.status('c').kind, 'free');
-      records.apply(crashed('c', known.crashesOf('c')));
+      records.apply(crashed('c', known.crashCountOf('c')));
       t.deepEqual(entry.read(records), ['c']);
       t.deepEqual(known.status('c'), { kind: 'held', forMs: 60_000 });
       entry.nowMs += 60_000;
@@ -123,7 +123,7 @@
         { kind: 'held', forMs: 600_000 },
         'other entries wait for the end of the trial',
       );
-      records.apply(crashed('c', known.crashesOf('c')));
+      records.apply(crashed('c', known.crashCountOf('c')));
       entry.read(records);
       t.deepEqual(known.status('c'), { kind: 'held', forMs: 600_000 });
     },
@@ -134,31 +134,31 @@
     const entry = new ReadingEntry();
     const { known } = entry;
     for (let crash = 0; crash < 2; crash += 1) {
-      records.apply(crashed('streaming', known.crashesOf('streaming'), true));
+      records.apply(crashed('streaming', known.crashCountOf('streaming'), true));
       t.deepEqual(entry.read(records), []);
     }
     t.is(known.status('streaming').kind, 'free');
-    records.apply(crashed('streaming', known.crashesOf('streaming'), true));
+    records.apply(crashed('streaming', known.crashCountOf('streaming'), true));
     t.deepEqual(entry.read(records), ['streaming'], 'it crashes endpoints during the response');
   });
 
   test(title('does not quarantine after one crash before and one during the response'), (t) => {
     const { known } = new ReadingEntry();
-    known.crashed('c', { knownCrashes: 0, hasBegun: true });
-    known.crashed('c', { knownCrashes: 1, hasBegun: false });
+    known.recordCrash('c', { knownCrashes: 0, hasBegun: true });
+    known.recordCrash('c', { knownCrashes: 1, hasBegun: false });
     t.is(known.status('c').kind, 'free');
-    known.crashed('c', { knownCrashes: 2, hasBegun: true });
+    known.recordCrash('c', { knownCrashes: 2, hasBegun: true });
     t.is(known.status('c').kind, 'held');
   });
 
   test(title('quarantines by its own observations before the fleet records them'), (t) => {
     const { known } = new ReadingEntry();
-    known.crashed('c', { knownCrashes: 0 });
-    known.crashed('c', { knownCrashes: 0 });
-    t.is(known.crashesOf('c'), 1);
-    known.crashed('c', { knownCrashes: 1 });
+    known.recordCrash('c', { knownCrashes: 0 });
+    known.recordCrash('c', { knownCrashes: 0 });
+    t.is(known.crashCountOf('c'), 1);
+    known.recordCrash('c', { knownCrashes: 1 });
     t.is(known.status('c').kind, 'held');
-    t.true(known.survived('c'));
+    t.true(known.recordSurvival('c'));
     t.is(known.status('c').kind, 'free');
     t.true(known.isEmpty);
   });
@@ -169,9 +169,9 @@
     records.apply(crashed('c', 0));
     const outdated = records.changesSince(0);
     entry.read(records);
-    t.true(entry.known.survived('c'));
-    for (let run = 0; run < 1000; run += 1) t.false(entry.known.survived(`good ${run}`));
-    entry.known.take(outdated);
+    t.true(entry.known.recordSurvival('c'));
+    for (let run = 0; run < 1000; run += 1) t.false(entry.known.recordSurvival(`good ${run}`));
+    entry.known.applyChanges(outdated);
     t.true(entry.known.isEmpty);
   });
 
@@ -184,10 +184,10 @@
       const outdated = records.changesSince(0);
       entry.read(records);
       entry.nowMs += 3_600_001;
-      t.is(entry.known.crashesOf('c'), 0);
+      t.is(entry.known.crashCountOf('c'), 0);
       records.apply(survived('c'));
       entry.read(records);
-      entry.known.take(outdated);
+      entry.known.applyChanges(outdated);
       t.true(entry.known.isEmpty);
     },
   );
--- a/packages/quota/src/limit-strategies.test.ts
+++ b/packages/quota/src/limit-strategies.test.ts
@@ -64,13 +64,13 @@
 
   arrive({ atMs: nowMs, entry }: Arrival): boolean {
     const share = this.share(entry);
-    const mode = this.alwaysRequestsGrant ? 'ask' : share.wayOf(WORKSPACE, true, nowMs);
+    const mode = this.alwaysRequestsGrant ? 'ask' : share.modeOf(WORKSPACE, true, nowMs);
     if (mode === 'ask') {
       this.messages += 2;
       const request = { workspace: WORKSPACE, terms: this.terms, wanted: 1 };
-      if (this.ledger.ask(request, nowMs).granted === 0) return false;
+      if (this.ledger.grant(request, nowMs).granted === 0) return false;
     }
-    share.passed(WORKSPACE, this.terms, { isCounted: mode === 'ask', nowMs });
+    share.recordAdmitted(WORKSPACE, this.terms, { isCounted: mode === 'ask', nowMs });
     return true;
   }
 
@@ -78,7 +78,7 @@
     if (nowMs % REPORT_EVERY_MS === 0) this.sendReports(nowMs);
     if (nowMs % CHECK_EVERY_MS !== 0) return;
     this.ledger.tick(nowMs);
-    this.notifyEntries(nowMs, this.ledger.near(nowMs));
+    this.notifyEntries(nowMs, this.ledger.workspacesNearLimit(nowMs));
   }
 
   loseCounter(): void {
@@ -99,7 +99,7 @@
         this.messages += 1;
         if (!this.ledger.report(report, nowMs)) continue;
         if (!this.hasNotified) this.notifyEntries(nowMs, [WORKSPACE]);
-        share.hearNear([WORKSPACE], nowMs);
+        share.updateNearLimit([WORKSPACE], nowMs);
         this.messages += 1;
       }
     }
@@ -109,7 +109,7 @@
     this.hasNotified = near.length > 0;
     if (near.length === 0 || this.alwaysRequestsGrant) return;
     this.messages += this.entryCount;
-    for (const share of this.shares) share.hearNear(near, nowMs);
+    for (const share of this.shares) share.updateNearLimit(near, nowMs);
   }
 
   private startShares(): void {
@@ -153,7 +153,7 @@
   tick(nowMs: number): void {
     if (nowMs % LEASE_REQUEST_EVERY_MS !== 0) return;
     for (const [entry, holder] of this.holders.entries()) {
-      if (holder.ownerToAsk('owner', nowMs) === undefined) continue;
+      if (holder.selectOwner('owner', nowMs) === undefined) continue;
       const token = holder.lastToken;
       const demand = ((this.demand[entry] ?? 0) * 1000) / LEASE_REQUEST_EVERY_MS;
       this.demand[entry] = 0;
@@ -166,7 +166,7 @@
         ...(token === undefined ? {} : { token }),
       };
       this.messages += 2;
-      holder.answered('owner', WORKSPACE, this.owner.ask(request, nowMs), nowMs);
+      holder.recordReply('owner', WORKSPACE, this.owner.grant(request, nowMs), nowMs);
     }
   }
 
--- a/packages/quota/src/request-ledger.test.ts
+++ b/packages/quota/src/request-ledger.test.ts
@@ -24,7 +24,10 @@
         let nowMs = 0;
         for (const { afterMs, wanted } of steps) {
           nowMs += afterMs;
-          const { granted, roomInMs } = ledger.ask({ workspace: WORKSPACE, terms, wanted }, nowMs);
+          const { granted, roomInMs } = ledger.grant(
+            { workspace: WORKSPACE, terms, wanted },
+            nowMs,
+          );
           grants.push({ atMs: nowMs, count: granted });
           t.true(granted <= wanted && (granted === wanted || roomInMs > 0));
         }
@@ -43,13 +46,13 @@
     const ledger = ledgerOf();
     const terms = { ratePerS: 10, burst: 10, version: 1 };
     const roomInMs = (wanted: number, nowMs: number): number =>
-      ledger.ask({ workspace: WORKSPACE, terms, wanted }, nowMs).roomInMs;
+      ledger.grant({ workspace: WORKSPACE, terms, wanted }, nowMs).roomInMs;
     ledger.report({ workspace: WORKSPACE, terms, used: 1000 }, 0);
-    ledger.ask({ workspace: WORKSPACE, terms, wanted: 1 }, 0);
+    ledger.grant({ workspace: WORKSPACE, terms, wanted: 1 }, 0);
     const other = ledgerOf();
-    other.ask({ workspace: WORKSPACE, terms, wanted: 100 }, 0);
-    const first = other.ask({ workspace: WORKSPACE, terms, wanted: 1 }, 0);
-    const second = other.ask({ workspace: WORKSPACE, terms, wanted: 1 }, 0);
+    other.grant({ workspace: WORKSPACE, terms, wanted: 100 }, 0);
+    const first = other.grant({ workspace: WORKSPACE, terms, wanted: 1 }, 0);
+    const second = other.grant({ workspace: WORKSPACE, terms, wanted: 1 }, 0);
     t.is(Math.round(second.roomInMs - first.roomInMs), 100, 'one request interval apart');
     t.is(roomInMs(1, 1), 10_000, 'limited to the maximum wait');
   });
@@ -60,7 +63,7 @@
     const low = { ratePerS: 1, burst: 1, version: 2 };
     ledger.report({ workspace: WORKSPACE, terms: high, used: 0 }, 0);
     ledger.report({ workspace: WORKSPACE, terms: low, used: 0 }, 2000);
-    const { granted } = ledger.ask({ workspace: WORKSPACE, terms: high, wanted: 200 }, 2000);
+    const { granted } = ledger.grant({ workspace: WORKSPACE, terms: high, wanted: 200 }, 2000);
     t.true(granted <= 12, `a lagging entry must not restore the old limit: ${granted}`);
   });
 
@@ -68,9 +71,9 @@
     const ledger = ledgerOf();
     const terms = { ratePerS: 50, burst: 50, version: 1 };
     for (let nowMs = 0; nowMs <= 1000; nowMs += 500) ledger.tick(nowMs);
-    ledger.ask({ workspace: WORKSPACE, terms, wanted: 100 }, 1000);
+    ledger.grant({ workspace: WORKSPACE, terms, wanted: 100 }, 1000);
     ledger.tick(5000);
-    const { granted } = ledger.ask({ workspace: WORKSPACE, terms, wanted: 100 }, 5000);
+    const { granted } = ledger.grant({ workspace: WORKSPACE, terms, wanted: 100 }, 5000);
     t.true(granted < 50, `the bucket must not refill during the suspension: ${granted}`);
   });
 });
--- a/packages/quota/src/request-ledger.ts
+++ b/packages/quota/src/request-ledger.ts
@@ -88,7 +88,7 @@
   }
 
   /** Grants as many of the requests as the limit allows now. */
-  ask({ workspace, terms, wanted }: QuotaRequest, nowMs: number): QuotaAnswer {
+  grant({ workspace, terms, wanted }: QuotaRequest, nowMs: number): QuotaAnswer {
     const account = this.accountOf(workspace, terms, nowMs);
     const granted = Math.max(0, Math.min(wanted, Math.floor(account.level)));
     account.level -= granted;
@@ -104,7 +104,7 @@
   }
 
   /** Returns the workspaces near their limits, for whose requests entries need a grant. */
-  near(nowMs: number): string[] {
+  workspacesNearLimit(nowMs: number): string[] {
     const names: string[] = [];
     for (const [name, account] of this.accounts) {
       this.refill(account, nowMs);
--- a/packages/quota/src/request-share.test.ts
+++ b/packages/quota/src/request-share.test.ts
@@ -16,7 +16,7 @@
 
 function shareOf(index: number, entryCount: number): RequestShare {
   const share = new RequestShare({ self: `e${index}`, tolerance: TOLERANCE });
-  share.noteEntries(entryCount);
+  share.recordEntryCount(entryCount);
   return share;
 }
 
@@ -31,8 +31,8 @@
         let admitted = 0;
         for (let nowMs = seed; nowMs < seed + TOLERANCE.windowMs; nowMs += 50) {
           for (const share of shares) {
-            if (!share.mayPassAlone('w', own, nowMs)) continue;
-            share.passed('w', own, { isCounted: false, nowMs });
+            if (!share.mayAdmitAlone('w', own, nowMs)) continue;
+            share.recordAdmitted('w', own, { isCounted: false, nowMs });
             admitted += 1;
           }
         }
@@ -48,12 +48,12 @@
     const share = shareOf(0, 50);
     const own = terms(20);
     let nowMs = 0;
-    for (; nowMs < 5000; nowMs += 250) share.passed('w', own, { isCounted: false, nowMs });
-    t.is(share.wayOf('w', false, nowMs), 'alone');
+    for (; nowMs < 5000; nowMs += 250) share.recordAdmitted('w', own, { isCounted: false, nowMs });
+    t.is(share.modeOf('w', false, nowMs), 'alone');
     let admitted = 0;
     for (; nowMs < 10_000; nowMs += 50) {
-      if (!share.mayPassAlone('w', own, nowMs)) continue;
-      share.passed('w', own, { isCounted: false, nowMs });
+      if (!share.mayAdmitAlone('w', own, nowMs)) continue;
+      share.recordAdmitted('w', own, { isCounted: false, nowMs });
       admitted += 1;
     }
     t.true(admitted >= 18 && admitted <= 22, String(admitted));
@@ -67,15 +67,15 @@
     const reportsTo = (counter: string | undefined, nowMs: number): unknown => [
       ...share.takeReports(() => counter, nowMs),
     ];
-    share.passed('w', own, { isCounted: false, nowMs: 0 });
-    share.passed('w', own, { isCounted: true, nowMs: 100 });
+    share.recordAdmitted('w', own, { isCounted: false, nowMs: 0 });
+    share.recordAdmitted('w', own, { isCounted: true, nowMs: 100 });
     const report = { workspace: 'w', terms: own };
     t.deepEqual(reportsTo('a', 200), [['a', [{ ...report, used: 1 }]]]);
     t.deepEqual(reportsTo('a', 300), []);
-    share.givenBack('w', own, 400);
+    share.recordReturned('w', own, 400);
     t.deepEqual(reportsTo(undefined, 450), [], 'kept until a counter is reached');
     t.deepEqual(reportsTo('a', 500), [['a', [{ ...report, used: -1 }]]]);
-    share.passed('w', own, { isCounted: false, nowMs: 1100 });
+    share.recordAdmitted('w', own, { isCounted: false, nowMs: 1100 });
     const usedBefore = [0, 0, 1, 0, 0, 0, 0, 0, 0, 0];
     t.deepEqual(reportsTo('b', 1200), [['b', [{ ...report, used: 1, usedBefore }]]]);
     t.deepEqual(reportsTo('b', 1300), []);
@@ -83,12 +83,12 @@
 
   test(title('requires grants near the limit until the notification expires'), (t) => {
     const share = shareOf(0, 3);
-    t.is(share.wayOf('w', true, 0), 'open');
-    share.hearNear(['w'], 0);
-    t.is(share.wayOf('w', true, 1000), 'ask');
-    t.is(share.wayOf('other', true, 1000), 'open');
-    t.is(share.wayOf('w', true, 2000), 'open');
-    share.forgetIdle(2000);
-    t.is(share.wayOf('w', false, 2000), 'alone');
+    t.is(share.modeOf('w', true, 0), 'open');
+    share.updateNearLimit(['w'], 0);
+    t.is(share.modeOf('w', true, 1000), 'ask');
+    t.is(share.modeOf('other', true, 1000), 'open');
+    t.is(share.modeOf('w', true, 2000), 'open');
+    share.removeIdle(2000);
+    t.is(share.modeOf('w', false, 2000), 'alone');
   });
 });
--- a/packages/quota/src/request-share.ts
+++ b/packages/quota/src/request-share.ts
@@ -16,9 +16,9 @@
 export type PassMode = 'open' | 'ask' | 'alone';
 
 /** Interval of a counter's notifications about workspaces near their limits. */
-export const NEAR_INTERVAL_MS = 500;
+export const NEAR_LIMIT_INTERVAL_MS = 500;
 /** Lifetime of a notification; long enough to tolerate the loss of one. */
-const NEAR_LIMIT_LEASE_MS = 3 * NEAR_INTERVAL_MS;
+const NEAR_LIMIT_LEASE_MS = 3 * NEAR_LIMIT_INTERVAL_MS;
 /** Windows without requests after which the count of a workspace is removed. */
 const IDLE_EXPIRY_WINDOWS = 4;
 
@@ -57,24 +57,24 @@
   }
 
   /** Returns how a request of a workspace is admitted. */
-  wayOf(workspace: string, isCounterReachable: boolean, nowMs: number): PassMode {
+  modeOf(workspace: string, isCounterReachable: boolean, nowMs: number): PassMode {
     if (!isCounterReachable) return 'alone';
     return (this.nearUntilMs.get(workspace) ?? -Infinity) > nowMs ? 'ask' : 'open';
   }
 
   /** Applies a counter's notification about workspaces near their limits. */
-  hearNear(workspaces: readonly string[], nowMs: number): void {
+  updateNearLimit(workspaces: readonly string[], nowMs: number): void {
     for (const workspace of workspaces)
       this.nearUntilMs.set(workspace, nowMs + NEAR_LIMIT_LEASE_MS);
   }
 
   /** Sets the number of entries. The largest value ever is used, as partitioned entries go on. */
-  noteEntries(count: number): void {
+  recordEntryCount(count: number): void {
     this.maxEntryCount = Math.max(this.maxEntryCount, count);
   }
 
   /** Records an admitted request. `isCounted`: the counter granted it, so it needs no report. */
-  passed(
+  recordAdmitted(
     workspace: string,
     terms: QuotaTerms,
     { isCounted, nowMs }: { readonly isCounted: boolean; readonly nowMs: number },
@@ -86,7 +86,7 @@
   }
 
   /** Records that an admitted request did not run, so that only the caller's retry counts. */
-  givenBack(workspace: string, terms: QuotaTerms, nowMs: number): void {
+  recordReturned(workspace: string, terms: QuotaTerms, nowMs: number): void {
     const count = this.countOf(workspace, terms, nowMs);
     const slice = this.sliceAt(nowMs);
     count.bySlice.set(slice, (count.bySlice.get(slice) ?? 0) - 1);
@@ -99,7 +99,7 @@
    * entries was within the limit then. The fraction of a request in each part is rounded up at a
    * matching share of the entries, chosen by hash.
    */
-  mayPassAlone(workspace: string, terms: QuotaTerms, nowMs: number): boolean {
+  mayAdmitAlone(workspace: string, terms: QuotaTerms, nowMs: number): boolean {
     const count = this.countOf(workspace, terms, nowMs);
     count.usedBeforeAlone ??= this.usedInWindow(count, nowMs);
     const share = allowedInWindow(terms, this.tolerance) / this.maxEntryCount;
@@ -128,7 +128,7 @@
   }
 
   /** Removes the counts of idle workspaces, and expired notifications. */
-  forgetIdle(nowMs: number): void {
+  removeIdle(nowMs: number): void {
     const idleMs = IDLE_EXPIRY_WINDOWS * this.tolerance.windowMs;
     for (const [workspace, count] of this.counts) {
       if (nowMs - count.usedAtMs > idleMs && count.unreported === 0) this.counts.delete(workspace);
--- a/packages/routing/src/address-choice.ts
+++ b/packages/routing/src/address-choice.ts
@@ -69,6 +69,9 @@
 }
 
 /** Returns the endpoint for the first request of a session; all entries compute the same one. */
-export function sessionHome(session: string, endpointIds: readonly string[]): string | undefined {
+export function firstSessionEndpoint(
+  session: string,
+  endpointIds: readonly string[],
+): string | undefined {
   return rendezvousOrder(`session|${session}`, endpointIds, 1)[0];
 }
--- a/packages/routing/src/load-view.ts
+++ b/packages/routing/src/load-view.ts
@@ -23,7 +23,7 @@
   private readonly states = new Map<string, EndpointLoadState>();
 
   /** Records a request of this entry that begins or ends at an endpoint. */
-  change(endpointId: string, kind: 'online' | 'batch', by: 1 | -1): void {
+  recordChange(endpointId: string, kind: 'online' | 'batch', by: 1 | -1): void {
     // The end of a request at a removed endpoint must not add the endpoint again.
     if (by === -1 && !this.states.has(endpointId)) return;
     const state = this.stateOf(endpointId);
@@ -32,7 +32,13 @@
   }
 
   /** Applies a report of the endpoint itself, made `ageMs` ago. */
-  report(endpointId: string, total: number, capacity: number, ageMs: number, nowMs: number): void {
+  applyReport(
+    endpointId: string,
+    total: number,
+    capacity: number,
+    ageMs: number,
+    nowMs: number,
+  ): void {
     const state = this.stateOf(endpointId);
     const attributed = this.online(endpointId, nowMs, false) + this.batch(endpointId, nowMs);
     state.unattributed = Math.max(0, total - attributed);
@@ -41,7 +47,7 @@
   }
 
   /** Applies the counts of requests that a peer entry has in progress at an endpoint. */
-  peerCount(
+  recordPeerCounts(
     endpointId: string,
     peer: string,
     counts: { online: number; batch: number },
@@ -81,7 +87,7 @@
   }
 
   /** Returns the counts of requests that this entry has in progress, to send to its peers. */
-  own(): { endpointId: string; online: number; batch: number }[] {
+  ownCounts(): { endpointId: string; online: number; batch: number }[] {
     return [...this.states].map(([endpointId, state]) => ({
       endpointId,
       online: state.ownOnline,
@@ -90,14 +96,14 @@
   }
 
   /** Removes all other endpoints. */
-  keepOnly(endpointIds: ReadonlySet<string>): void {
+  removeAllExcept(endpointIds: ReadonlySet<string>): void {
     for (const endpointId of this.states.keys()) {
       if (!endpointIds.has(endpointId)) this.states.delete(endpointId);
     }
   }
 
   /** Removes an endpoint. */
-  forget(endpointId: string): void {
+  remove(endpointId: string): void {
     this.states.delete(endpointId);
   }
 
--- a/packages/routing/src/prefix-index.ts
+++ b/packages/routing/src/prefix-index.ts
@@ -28,12 +28,12 @@
   }
 
   /** Records that an endpoint holds prefixes. */
-  note(endpointId: string, hashes: readonly string[]): void {
+  record(endpointId: string, hashes: readonly string[]): void {
     for (const hash of hashes) this.recordHolder(endpointId, hash);
   }
 
   /** Returns the number of leading blocks of the prompt that each endpoint probably holds. */
-  matches(hashes: readonly string[]): Map<string, number> {
+  matchingBlocks(hashes: readonly string[]): Map<string, number> {
     const blocks = new Map<string, number>();
     for (const [position, hash] of hashes.entries()) {
       for (const holder of this.holders.get(hash) ?? []) {
@@ -45,7 +45,7 @@
   }
 
   /** Removes an endpoint that is no longer available. */
-  forget(endpointId: string): void {
+  removeEndpoint(endpointId: string): void {
     for (const [hash, holders] of this.holders) {
       const kept = holders.filter((holder) => holder !== endpointId);
       if (kept.length === 0) this.holders.delete(hash);
--- a/packages/routing/src/routing.test.ts
+++ b/packages/routing/src/routing.test.ts
@@ -60,14 +60,14 @@
 describe('LoadView', () => {
   test(title('counts known requests once, decays unattributed load, expires peer counts'), (t) => {
     const view = new LoadView();
-    view.change('e', 'online', 1);
-    view.peerCount('e', 'p', { online: 2, batch: 3 }, 0);
-    view.report('e', 10, 16, 0, 0);
+    view.recordChange('e', 'online', 1);
+    view.recordPeerCounts('e', 'p', { online: 2, batch: 3 }, 0);
+    view.applyReport('e', 10, 16, 0, 0);
     t.is(view.online('e', 0), 7);
     t.is(Math.round(view.online('e', 2000)), 5);
     t.is(view.online('e', 4000, false), 1);
-    view.change('e', 'online', -1);
-    view.change('e', 'online', -1);
+    view.recordChange('e', 'online', -1);
+    view.recordChange('e', 'online', -1);
     t.is(view.online('e', 4000, false), 0);
   });
 });
@@ -75,12 +75,12 @@
 describe('PrefixIndex', () => {
   test(title('limits its size, tolerates lost events and removes endpoints'), (t) => {
     const index = new PrefixIndex({ maxPrefixes: 100 });
-    for (let n = 0; n < 1000; n += 1) index.note('e1', [`p${n}`]);
+    for (let n = 0; n < 1000; n += 1) index.record('e1', [`p${n}`]);
     t.is(index.size, 100);
-    index.note('e2', ['a', 'c']);
-    t.is(index.matches(['a', 'b', 'c', 'd']).get('e2'), 3);
-    index.forget('e2');
-    t.is(index.matches(['a', 'b', 'c']).size, 0);
+    index.record('e2', ['a', 'c']);
+    t.is(index.matchingBlocks(['a', 'b', 'c', 'd']).get('e2'), 3);
+    index.removeEndpoint('e2');
+    t.is(index.matchingBlocks(['a', 'b', 'c']).size, 0);
   });
 });
 
--- a/packages/routing/src/slot-routing.ts
+++ b/packages/routing/src/slot-routing.ts
@@ -5,7 +5,7 @@
  * prefix.
  */
 
-import type { ChoiceTerms } from '@shedline/types';
+import type { ChoiceOptions } from '@shedline/types';
 import { promptCosts } from './prompt-placement.js';
 
 /** An endpoint that may take the request. */
@@ -58,7 +58,7 @@
   choose(
     candidates: readonly SlotCandidate[],
     availabilityZone: string,
-    { mayQueue = true, prompt }: ChoiceTerms = {},
+    { mayQueue = true, prompt }: ChoiceOptions = {},
   ): SlotCandidate | undefined {
     const maxQueued = mayQueue ? this.maxQueued : 0;
     const endpointIds = candidates.map(({ endpointId }) => endpointId);
--- a/packages/table/src/revision-tracker.ts
+++ b/packages/table/src/revision-tracker.ts
@@ -17,7 +17,7 @@
 }
 
 /** Entries that have applied a revision, and entries that have not. */
-export interface InForceReport {
+export interface RevisionReport {
   readonly revision: number;
   /**
    * Whether all live entries have applied the revision. `unknown` until an entry lease has passed
@@ -65,7 +65,7 @@
   }
 
   /** Returns which live entries have applied a revision. */
-  report(revision: number, nowMs: number): InForceReport {
+  report(revision: number, nowMs: number): RevisionReport {
     const live = this.liveEntries(nowMs);
     const confirmed = live.filter((status) => status.revision >= revision);
     const missing = live.filter((status) => status.revision < revision);
--- a/packages/test-utils/src/partition-relay.ts
+++ b/packages/test-utils/src/partition-relay.ts
@@ -6,7 +6,7 @@
 import type { Server, Socket } from 'node:net';
 
 /** Relays bytes in both directions, except while it is partitioned. */
-export class CuttableRelay {
+export class PartitionRelay {
   private readonly server: Server;
   private readonly sockets = new Set<Socket>();
   private isPartitioned = false;
@@ -22,8 +22,8 @@
   }
 
   /** Starts a relay to a local port; `targetPort` is called for each connection. */
-  static async start(targetPort: () => number): Promise<CuttableRelay> {
-    const relay = new CuttableRelay(targetPort);
+  static async start(targetPort: () => number): Promise<PartitionRelay> {
+    const relay = new PartitionRelay(targetPort);
     await new Promise<void>((resolve) => {
       relay.server.listen(0, '127.0.0.1', resolve);
     });
@@ -40,14 +40,14 @@
    * Begins or ends a partition. The end closes all open connections, as bytes that arrived during
    * the partition were dropped.
    */
-  cut(isPartitioned: boolean): void {
+  setPartitioned(isPartitioned: boolean): void {
     this.isPartitioned = isPartitioned;
     if (isPartitioned) return;
     for (const socket of this.sockets) socket.destroy();
   }
 
   /** Stalls all open connections for good without closing them; new connections work. */
-  silenceOpen(): void {
+  stallOpenConnections(): void {
     for (const socket of this.sockets) this.stalled.add(socket);
   }
 
--- a/packages/transport/src/link-silence.test.ts
+++ b/packages/transport/src/link-silence.test.ts
@@ -20,7 +20,7 @@
 
 describe('LinkSilence', () => {
   for (const [detection, maxMs] of [
-    ['news', FAST_DETECTION_MAX_MS],
+    ['fast', FAST_DETECTION_MAX_MS],
     ['normal', NORMAL_DETECTION_MAX_MS],
   ] as const) {
     test(title(`pings before it terminates, and terminates in time: ${detection}`), (t) => {
@@ -54,7 +54,7 @@
   });
 
   test(title('does nothing while the peer sends something often enough'), (t) => {
-    const subject = new LinkSilence('news', 0);
+    const subject = new LinkSilence('fast', 0);
     for (let nowMs = 0; nowMs < 10_000; nowMs += CHECK_INTERVAL_MS) {
       if (nowMs % 800 === 0) subject.noteReceived(nowMs);
       t.is(subject.check(nowMs), 'none');
@@ -62,7 +62,7 @@
   });
 
   test(title('does not count the time during which this process was suspended'), (t) => {
-    const subject = new LinkSilence('news', 0);
+    const subject = new LinkSilence('fast', 0);
     t.is(subject.check(CHECK_INTERVAL_MS), 'none');
     const resumedAtMs = 20_000;
     t.not(subject.check(resumedAtMs, 0), 'terminate');
--- a/packages/transport/src/link-silence.ts
+++ b/packages/transport/src/link-silence.ts
@@ -19,15 +19,15 @@
 }
 
 /**
- * How soon an unresponsive peer is detected. `news`: fast, for connections that keep the state of
+ * How soon an unresponsive peer is detected. `fast`: for connections that keep the state of
  * this process up to date; the peer sends something at least every 800 ms. `normal`: for
  * connections that may be idle. In an entry without load, one of 40, pings of such connections took
  * 3 of 16 ms of script time per second (one profile).
  */
-export type SilenceDetection = 'news' | 'normal';
+export type SilenceDetection = 'fast' | 'normal';
 
 const LIMITS: Readonly<Record<SilenceDetection | 'awaited', SilenceLimits>> = {
-  news: { pingAfterMs: 850, terminateAfterMs: 1300 },
+  fast: { pingAfterMs: 850, terminateAfterMs: 1300 },
   normal: { pingAfterMs: 1500, terminateAfterMs: 3000 },
   /** While a reply is awaited. */
   awaited: { pingAfterMs: 400, terminateAfterMs: 1000 },
@@ -38,7 +38,7 @@
  * member: with 3.5 s and member leases of 1.7 s, members disappeared from all lists before their
  * unresponsive connections were reopened.
  */
-export const FAST_DETECTION_MAX_MS = LIMITS.news.terminateAfterMs + CHECK_INTERVAL_MS;
+export const FAST_DETECTION_MAX_MS = LIMITS.fast.terminateAfterMs + CHECK_INTERVAL_MS;
 
 /** What this side does about a peer. */
 export type SilenceAction = 'none' | 'ping' | 'terminate';
--- a/packages/transport/src/peer-connections.ts
+++ b/packages/transport/src/peer-connections.ts
@@ -21,7 +21,7 @@
   readonly localAddress?: string;
   readonly handlers?: Partial<LinkHandlers>;
   /** How soon an unresponsive peer is detected; `normal` if omitted. */
-  readonly use?: SilenceDetection;
+  readonly silenceDetection?: SilenceDetection;
   /** Delay before the first reconnection attempt. */
   readonly firstRetryMs?: number;
   /** Called whenever the handshake with a peer is complete. */
@@ -67,8 +67,16 @@
   add(address: PeerAddress): void {
     if (this.isClosed || address.name === this.options.name) return;
     if (this.clients.has(address.name)) return;
-    const { name, secret, localAddress, handlers, use, firstRetryMs, onReady, onLost } =
-      this.options;
+    const {
+      name,
+      secret,
+      localAddress,
+      handlers,
+      silenceDetection,
+      firstRetryMs,
+      onReady,
+      onLost,
+    } = this.options;
     const client = new PeerClient({
       name,
       secret,
@@ -76,7 +84,7 @@
       url: `ws://${address.host}:${address.port}`,
       ...(localAddress === undefined ? {} : { localAddress }),
       ...(handlers === undefined ? {} : { handlers }),
-      ...(use === undefined ? {} : { silenceDetection: use }),
+      ...(silenceDetection === undefined ? {} : { silenceDetection }),
       ...(firstRetryMs === undefined ? {} : { firstRetryMs }),
       onReady: () => onReady?.(address.name),
       onLost: (loss) => onLost?.(address.name, loss),
--- a/packages/types/src/index.ts
+++ b/packages/types/src/index.ts
@@ -11,7 +11,7 @@
 export const TABLE_GROUP = 0;
 
 /** Whether a refused request was executed; `no` is reported only if it is certain. */
-export type Ran = 'no' | 'unknown' | 'yes';
+export type ExecutionStatus = 'no' | 'unknown' | 'yes';
 
 /** Header that reports to a caller whether a refused request was executed. */
 export const RAN_HEADER = 'shedline-ran';
--- a/packages/whole-jobs/src/item-dispenser.ts
+++ b/packages/whole-jobs/src/item-dispenser.ts
@@ -88,7 +88,7 @@
 export interface GrantResult {
   readonly items: readonly DispensedItem[];
   /** Number of unleased items of the route after the grant; excludes delayed items. */
-  readonly unheldCount: number;
+  readonly unleasedCount: number;
 }
 
 /** Minimum share of a complete run that an item is assumed to still need. */
@@ -115,7 +115,7 @@
   /** Leases the first waiting items in the order of {@link compareWaitingItems}. */
   grant(jobs: WholeJobs, request: ItemRequest, time: DispenserTime): GrantResult {
     const waiting = this.unleasedItems(jobs, request, time);
-    if (time.nowMs < this.grantsFromMs) return { items: [], unheldCount: waiting.length };
+    if (time.nowMs < this.grantsFromMs) return { items: [], unleasedCount: waiting.length };
     this.runMs = request.runMs;
     const { slowdown } = this.slowdownEstimate;
     const selected = selectFirst(waiting, request.maxItems, (a, b) =>
@@ -125,7 +125,7 @@
       this.leaseItem({ jobId: job.identity.jobId, index }, request.holder, time.nowMs);
       return { job, index, progress: job.progressOf(index) };
     });
-    return { items, unheldCount: waiting.length - items.length };
+    return { items, unleasedCount: waiting.length - items.length };
   }
 
   /** Renews the leases of a holder; returns the items that it must no longer run. */
@@ -151,7 +151,7 @@
   }
 
   /** Updates the slowdown estimate with finished items. */
-  finished(items: readonly ItemRef[], nowMs: number): void {
+  recordFinished(items: readonly ItemRef[], nowMs: number): void {
     for (const { jobId, index } of items) {
       const grantedAtMs = this.leasesByJob.get(jobId)?.grantedAtMs.get(index);
       if (grantedAtMs !== undefined)
--- a/packages/whole-jobs/src/item-load.test.ts
+++ b/packages/whole-jobs/src/item-load.test.ts
@@ -168,7 +168,7 @@
     this.runs.splice(this.runs.indexOf(run), 1);
     const finished = [{ jobId, index, state: 'complete', text: '' }];
     this.apply({ type: 'commitRuns', holder: 'a', finished, failed: [], returned: [] });
-    this.dispenser.finished([{ jobId, index }], this.nowMs);
+    this.dispenser.recordFinished([{ jobId, index }], this.nowMs);
     if (this.nowMs <= (this.submittedAtMsByJob.get(jobId) ?? 0) + DUE_MS) this.timelyCount += 1;
   }
 }
