--- a/packages/client/src/index.ts
+++ b/packages/client/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * The caller library.
+ * Client library for callers.
  */
 export { ShedlineClient } from './client.js';
 export type {
@@ -9,4 +9,4 @@
   JobItem,
   ShedlineClientOptions,
 } from './client.js';
-export { AddressBook } from './address-book.js';
+export { EntryAddresses } from './entry-addresses.js';
--- a/packages/entry/src/admission-desk.ts
+++ b/packages/entry/src/admission-controller.ts
@@ -1,5 +1,5 @@
 /**
- * Admission of online requests at one entry: the row's limits, then the overload gate.
+ * Admission of online requests at one entry: checks the limits of the row, then the overload gate.
  */
 import { OverloadGate, RetryBudget, RowLimits } from '@shedline/admission';
 import type { QuotaHolder } from '@shedline/admission';
@@ -9,16 +9,16 @@
 import type { ServiceRow } from '@shedline/types';
 import type { FleetView } from './fleet-view.js';
 
-/** Options of {@link AdmissionDesk}. */
-export interface AdmissionDeskOptions {
+/** Options of {@link AdmissionController}. */
+export interface AdmissionControllerOptions {
   readonly fleet: FleetView;
   readonly holder: QuotaHolder;
   readonly metrics: EntryMetrics;
   readonly nowMs: () => number;
 }
 
-/** Decides which online requests may run. */
-export class AdmissionDesk {
+/** Admits or rejects online requests. */
+export class AdmissionController {
   readonly limits: RowLimits;
   private readonly fleet: FleetView;
   private readonly metrics: EntryMetrics;
@@ -26,14 +26,14 @@
   private readonly gates = new Map<string, OverloadGate>();
   private readonly budgets = new Map<string, RetryBudget>();
 
-  constructor(options: AdmissionDeskOptions) {
+  constructor(options: AdmissionControllerOptions) {
     this.fleet = options.fleet;
     this.metrics = options.metrics;
     this.nowMs = options.nowMs;
     this.limits = new RowLimits(options.holder);
   }
 
-  /** Runs admitted work and counts how it ended; a refusal says that it did not run. */
+  /** Runs `work` if it is admitted and counts its outcome; a rejection has `ran: no`. */
   async run<T>(row: ServiceRow, isOpenSession: boolean, work: () => Promise<T>): Promise<T> {
     const service = rowKey(row.workspace, row.service);
     let outcome: RequestOutcome = 'refused';
@@ -46,45 +46,48 @@
       return result;
     } finally {
       release?.();
-      this.metrics.requestEnded(service, 'online', outcome);
+      this.metrics.recordRequestEnd(service, 'online', outcome);
     }
   }
 
-  /** Admits a request; throws a refusal that says that it did not run. Gives its release. */
+  /** Admits a request and returns the function that releases it; throws a rejection. */
   private admit(row: ServiceRow, isOpenSession: boolean, nowMs: number): () => void {
     const key = rowKey(row.workspace, row.service);
-    const limited = this.limits.admit(key, row.limits, nowMs);
-    if (!limited.admitted) {
+    const limitDecision = this.limits.admit(key, row.limits, nowMs);
+    if (!limitDecision.admitted) {
       throw new ShedlineError({
         type: 'limit_reached',
-        message: `the ${limited.limit} limit of ${key} is reached; come back later`,
+        message: `the ${limitDecision.limit} limit of ${key} is reached; retry later`,
         step: 'admit',
         peer: key,
         ran: 'no',
-        retryAfterMs: limited.retryAfterMs,
+        retryAfterMs: limitDecision.retryAfterMs,
       });
     }
     const gate = this.gateOf(row);
-    const pressure = this.fleet.pressure(row, nowMs);
-    const answer = gate.decide({ row: key, weight: row.weight, isOpenSession, ...pressure }, nowMs);
-    if (!answer.admitted) {
-      this.limits.finished(key);
-      throw overloaded(key, answer.retryAfterMs, pressure.capacity);
+    const pressure = this.fleet.loadAndCapacityOf(row, nowMs);
+    const gateDecision = gate.decide(
+      { row: key, weight: row.weight, isOpenSession, ...pressure },
+      nowMs,
+    );
+    if (!gateDecision.admitted) {
+      this.limits.release(key);
+      throw overloaded(key, gateDecision.retryAfterMs, pressure.capacity);
     }
-    this.budgetOf(key).requested();
+    this.budgetOf(key).recordRequest();
     return () => {
-      this.limits.finished(key);
-      gate.finished(key);
+      this.limits.release(key);
+      gate.release(key);
     };
   }
 
-  /** Charges the tokens of an answer. */
+  /** Charges the tokens of a response to the limits of the service. */
   charge(service: string, usedTokens: number, generatedTokens: number): void {
     this.limits.chargeTokens(service, usedTokens);
-    this.metrics.generated(service, 'online', generatedTokens);
+    this.metrics.recordTokens(service, 'online', generatedTokens);
   }
 
-  /** The retry budget of a service. */
+  /** Returns the retry budget of a service. */
   budgetOf(key: string): RetryBudget {
     const known = this.budgets.get(key);
     if (known !== undefined) return known;
@@ -93,7 +96,7 @@
     return budget;
   }
 
-  /** Rows that share their endpoints share a gate. */
+  /** Returns the overload gate of a row; rows with the same endpoints share a gate. */
   private gateOf(row: ServiceRow): OverloadGate {
     const pool = row.kind === 'plain' ? rowKey(row.workspace, row.service) : row.models.join(',');
     const known = this.gates.get(pool);
@@ -105,12 +108,12 @@
 }
 
 function overloaded(key: string, retryAfterMs: number, capacity: number): ShedlineError {
-  const none = capacity === 0;
+  const hasNoEndpoint = capacity === 0;
   return new ShedlineError({
-    type: none ? 'unavailable' : 'overloaded',
-    message: none
-      ? `no endpoint of ${key} is up; come back later`
-      : `all endpoints of ${key} are busy; come back later`,
+    type: hasNoEndpoint ? 'unavailable' : 'overloaded',
+    message: hasNoEndpoint
+      ? `no endpoint of ${key} is available; retry later`
+      : `all endpoints of ${key} are busy; retry later`,
     step: 'admit',
     peer: key,
     ran: 'no',
--- a/packages/fleet-control/src/peer-ports.ts
+++ b/packages/fleet-control/src/peer-ports.ts
@@ -1,13 +1,13 @@
 /**
- * The peers of a process as places to call.
+ * Adapts the peer connections of a process to {@link CallPort}.
  */
 import type { CallPort } from '@shedline/control-client';
-import type { PeerBook } from '@shedline/transport';
+import type { PeerConnections } from '@shedline/transport';
 
-/** A port for each peer. */
-export function portsOf(book: PeerBook): CallPort[] {
-  return book.names.flatMap((name): CallPort[] => {
-    const client = book.get(name);
+/** Returns a call port for each connected peer. */
+export function callPortsOf(connections: PeerConnections): CallPort[] {
+  return connections.names.flatMap((name): CallPort[] => {
+    const client = connections.get(name);
     if (client === undefined) return [];
     return [
       {
--- a/packages/fleet-control/src/process-core.ts
+++ b/packages/fleet-control/src/process-core.ts
@@ -1,5 +1,5 @@
 /**
- * What every process of a fleet has: a place in the mesh and a server for its peers.
+ * The parts that every process of a fleet has: its membership in the mesh and a server for its peers.
  */
 import { randomBytes } from 'node:crypto';
 import type { FleetSettings } from '@shedline/config';
@@ -7,8 +7,8 @@
 import type { Logger } from '@shedline/logger';
 import { Mesh } from '@shedline/mesh';
 import type { MemberKind, MemberRecord, MeshOptions } from '@shedline/mesh';
-import { PeerBook, PeerServer } from '@shedline/transport';
-import type { Link, LinkHandlers, PeerBookOptions } from '@shedline/transport';
+import { PeerConnections, PeerServer } from '@shedline/transport';
+import type { Link, LinkHandlers, PeerConnectionsOptions } from '@shedline/transport';
 import { peerAddressOf, seedAddresses } from './ports.js';
 
 const EPOCH_BYTES = 6;
@@ -20,10 +20,10 @@
   readonly logger: Logger;
   readonly nowMs: () => number;
   readonly handlers: LinkHandlers;
-  /** What this kind of process says of itself besides. */
+  /** Additional fields of the member record of this kind of process. */
   readonly record?: Partial<MemberRecord>;
   readonly onMembersChange?: () => void;
-  /** Called when a connection to a control process is up. */
+  /** Called when a connection to a control process is established. */
   readonly onControlConnected?: (name: string) => void;
   /** See {@link MeshOptions.coreMembers}. */
   readonly coreMembers?: MeshOptions['coreMembers'];
@@ -31,13 +31,13 @@
 
 /** Mesh and server of one process. */
 export class ProcessCore {
-  /** `host:port` for peers; the name of the process in the fleet. */
+  /** Name of the process in the fleet: its `host:port` for peers. */
   readonly name: string;
   readonly epoch = randomBytes(EPOCH_BYTES).toString('hex');
   readonly mesh: Mesh;
   readonly server: PeerServer;
   private readonly options: ProcessCoreOptions;
-  private readonly peerOptions: Pick<PeerBookOptions, 'secret' | 'localAddress'>;
+  private readonly peerOptions: Pick<PeerConnectionsOptions, 'secret' | 'localAddress'>;
 
   constructor(options: ProcessCoreOptions) {
     const { kind, settings, logger, nowMs, handlers } = options;
@@ -83,18 +83,21 @@
     });
   }
 
-  /** Listens for peers; {@link start} makes the process known. */
+  /** Listens for peers; {@link start} announces the process to the fleet. */
   async listen(): Promise<void> {
     const { host, port } = this.mesh.self;
     await this.server.listen(this.options.settings.listenHost ?? host, port);
   }
 
-  /** Connections of this process to some of its peers. */
-  createPeerBook(
-    options: Pick<PeerBookOptions, 'handlers' | 'lingerMs' | 'use' | 'firstRetryMs'> = {},
-  ): PeerBook {
+  /** Creates connections of this process to some of its peers. */
+  createPeerConnections(
+    options: Pick<
+      PeerConnectionsOptions,
+      'handlers' | 'lingerMs' | 'silenceDetection' | 'firstRetryMs'
+    > = {},
+  ): PeerConnections {
     const { logger } = this.options;
-    return new PeerBook({
+    return new PeerConnections({
       name: this.name,
       ...this.peerOptions,
       onLost: (peer, loss) => {
@@ -104,12 +107,12 @@
     });
   }
 
-  /** Announces the process. */
+  /** Announces the process to the fleet. */
   start(): void {
     this.mesh.start();
   }
 
-  /** Takes settings that changed while the process runs. */
+  /** Applies settings that changed while the process is running. */
   reload(settings: FleetSettings): void {
     this.mesh.setSeeds(seedAddresses(settings.seeds, settings.firstPeerPort));
     this.options.logger.info('settings reloaded', {
@@ -118,18 +121,21 @@
     });
   }
 
-  /** Sends a one-way message to every process that is connected to this one. */
+  /** Sends a one-way message to every process that is connected to this process. */
   broadcast(method: string, payload: unknown): void {
     for (const link of this.server.readyLinks) link.send(method, payload);
   }
 
-  /** Says goodbye and closes all connections. */
+  /** Announces the stop and closes all connections. */
   async stop(): Promise<void> {
     this.mesh.stop();
     await this.server.close();
   }
 
-  /** This process cannot answer; nothing was done. `leader` is who could, if known. */
+  /**
+   * Creates the error of a request that this process cannot serve and that had no effect. `leader` is
+   * the process that can serve it, if known.
+   */
   unavailable(step: string, message: string, leader?: string): ShedlineError {
     return new ShedlineError({
       type: 'unavailable',
--- a/packages/forwarding/src/endpoint-queue.test.ts
+++ b/packages/forwarding/src/endpoint-queue.test.ts
@@ -6,33 +6,33 @@
   ChosenEndpoint,
   EndpointFinder,
   EndpointQueueOptions,
-  EndpointWish,
+  EndpointQueueRequest,
 } from './endpoint-queue.js';
 
 const SERVICE = 's';
 
 /** Endpoints with a number of free slots each. */
 class FakeFinder implements EndpointFinder {
-  readonly knownWithinMs = 1200;
+  readonly announcedWithinMs = 1200;
   readonly free = new Map<string, number>();
   slots = 0;
-  looks = 0;
+  chooseCalls = 0;
 
   choose(_service: string, tried: ReadonlySet<string>): ChosenEndpoint | undefined {
-    this.looks += 1;
+    this.chooseCalls += 1;
     for (const [endpointId, count] of this.free) {
       if (count > 0 && !tried.has(endpointId)) return { endpointId, address: 'a:1', load: 0 };
     }
     return undefined;
   }
 
-  began(endpointId: string): void {
+  noteSendStarted(endpointId: string): void {
     this.free.set(endpointId, (this.free.get(endpointId) ?? 0) - 1);
   }
 
-  capacity(_service: string, excluded: ReadonlySet<string>): { slots: number; sharers: number } {
-    // All slots are those of one endpoint.
-    return { slots: excluded.has('e') ? 0 : this.slots, sharers: 1 };
+  capacity(_service: string, excluded: ReadonlySet<string>): { slots: number; entryCount: number } {
+    // All slots belong to one endpoint.
+    return { slots: excluded.has('e') ? 0 : this.slots, entryCount: 1 };
   }
 }
 
@@ -50,23 +50,23 @@
   return { finder, clock, queue };
 }
 
-function wish(change: Partial<EndpointWish> = {}): EndpointWish {
+function request(change: Partial<EndpointQueueRequest> = {}): EndpointQueueRequest {
   return {
     service: SERVICE,
     tried: new Set(),
-    mayRepeat: true,
+    mayRetryTried: true,
     rank: 0,
-    onTimeUntilMs: 300,
+    targetDeadlineMs: 300,
     deadlineMs: 5000,
     ...change,
   };
 }
 
-/** Collects the names of requests in the order in which they got an endpoint. */
-function follow(setup: Setup, wishes: Record<string, EndpointWish>): string[] {
+/** Collects the names of requests in the order in which they got an endpoint or were refused. */
+function collectOrder(setup: Setup, requests: Record<string, EndpointQueueRequest>): string[] {
   const order: string[] = [];
-  for (const [name, one] of Object.entries(wishes)) {
-    void setup.queue.enter(one).endpoint.then((endpoint) => {
+  for (const [name, queued] of Object.entries(requests)) {
+    void setup.queue.enter(queued).endpoint.then((endpoint) => {
       order.push(endpoint === undefined ? `${name} refused` : name);
     });
   }
@@ -79,12 +79,12 @@
 
 describe('EndpointQueue', () => {
   test(
-    title('gives a free endpoint at once, and counts it before the next one asks'),
+    title('assigns a free endpoint at once, and counts it before the next request enters'),
     async (t) => {
       const { finder, queue } = setup(1);
       finder.free.set('e', 1);
-      const first = queue.enter(wish());
-      const second = queue.enter(wish());
+      const first = queue.enter(request());
+      const second = queue.enter(request());
       t.is((await first.endpoint)?.endpointId, 'e');
       t.is(queue.length, 1);
       second.leave();
@@ -93,13 +93,13 @@
     },
   );
 
-  test(title('a slot that opens goes to whoever can still be on time'), async (t) => {
+  test(title('a slot that becomes free goes to a request that can meet its target'), async (t) => {
     const all = setup(8);
     all.clock.nowMs = 400;
-    const order = follow(all, {
-      late: wish({ onTimeUntilMs: 300, deadlineMs: 3000 }),
-      fresh: wish({ onTimeUntilMs: 700 }),
-      resumed: wish({ onTimeUntilMs: 600 }),
+    const order = collectOrder(all, {
+      late: request({ targetDeadlineMs: 300, deadlineMs: 3000 }),
+      fresh: request({ targetDeadlineMs: 700 }),
+      resumed: request({ targetDeadlineMs: 600 }),
     });
     for (let slot = 0; slot < 3; slot += 1) {
       all.finder.free.set('e', 1);
@@ -109,12 +109,12 @@
     t.deepEqual(order, ['resumed', 'fresh', 'late']);
   });
 
-  test(title('what cannot be served in its time is refused at once, the rest waits'), async (t) => {
+  test(title('refuses a request at once that cannot meet its deadline'), async (t) => {
     const all = setup(2);
     all.queue.ended(SERVICE, { runMs: 600 });
-    const order = follow(all, {
-      short: wish({ deadlineMs: 800 }),
-      long: wish({ deadlineMs: 5000 }),
+    const order = collectOrder(all, {
+      short: request({ deadlineMs: 800 }),
+      long: request({ deadlineMs: 5000 }),
     });
     await settled();
     t.deepEqual(order, ['short refused']);
@@ -124,25 +124,25 @@
     t.is(all.queue.length, 0);
   });
 
-  test(title('where no endpoint is known, waits as long as one takes to be heard'), async (t) => {
+  test(title('if no endpoint is known, waits until an endpoint would be announced'), async (t) => {
     const all = setup(0);
-    const order = follow(all, { only: wish() });
+    const order = collectOrder(all, { only: request() });
     await settled();
     t.deepEqual(order, []);
-    all.clock.nowMs = all.finder.knownWithinMs;
+    all.clock.nowMs = all.finder.announcedWithinMs;
     all.queue.ended(SERVICE);
     await settled();
     t.deepEqual(order, ['only refused']);
   });
 
   test(
-    title('an endpoint that was tried is chosen again only where nothing ran there'),
+    title('a tried endpoint is chosen again only if it did not execute the request'),
     async (t) => {
       const { finder, queue } = setup(1);
       finder.free.set('e', 2);
       const tried = new Set(['e']);
-      t.is((await queue.enter(wish({ tried })).endpoint)?.endpointId, 'e');
-      const doubtful = queue.enter(wish({ tried, mayRepeat: false }));
+      t.is((await queue.enter(request({ tried })).endpoint)?.endpointId, 'e');
+      const doubtful = queue.enter(request({ tried, mayRetryTried: false }));
       t.is(queue.length, 1);
       doubtful.leave();
       t.is(await doubtful.endpoint, undefined);
@@ -150,11 +150,13 @@
   );
 
   test(
-    title('does not wait to its deadline for an endpoint that it may not use again'),
+    title('does not wait until its deadline for an endpoint that it may not use again'),
     async (t) => {
       const all = setup(8);
-      const order = follow(all, { doubtful: wish({ tried: new Set(['e']), mayRepeat: false }) });
-      all.clock.nowMs = all.finder.knownWithinMs;
+      const order = collectOrder(all, {
+        doubtful: request({ tried: new Set(['e']), mayRetryTried: false }),
+      });
+      all.clock.nowMs = all.finder.announcedWithinMs;
       all.queue.ended(SERVICE);
       await settled();
       t.deepEqual(order, ['doubtful refused']);
@@ -162,53 +164,52 @@
   );
 
   test(
-    title('a long queue is looked at once for each slot, not once for each request'),
+    title('a long queue chooses an endpoint once per free slot, not once per request'),
     async (t) => {
-      // Looks of the queue's own timer would be counted too where the process stands still for a moment.
+      // The queue's own poll timer is disabled: if the process were suspended, its calls would be
+      // counted too.
       const all = setup(8, { after: () => undefined });
-      const wishes = Array.from(
+      const requests = Array.from(
         { length: 100 },
-        (_, index) => [`request ${index}`, wish()] as const,
+        (_, index) => [`request ${index}`, request()] as const,
       );
-      const order = follow(all, Object.fromEntries(wishes));
-      const { looks } = all.finder;
+      const order = collectOrder(all, Object.fromEntries(requests));
+      const { chooseCalls } = all.finder;
       all.finder.free.set('e', 2);
       all.queue.ended(SERVICE);
       await settled();
       t.is(order.length, 2);
-      t.is(all.finder.looks - looks, 3);
+      t.is(all.finder.chooseCalls - chooseCalls, 3);
       all.clock.nowMs = 5000;
       all.queue.ended(SERVICE);
       t.is(all.queue.length, 0);
     },
   );
 
-  test(title('says when there is room for a caller that comes back'), async (t) => {
+  test(title('estimates when a slot is free for a caller that retries'), async (t) => {
     const all = setup(8);
     all.queue.ended(SERVICE, { runMs: 800 });
-    t.is(all.queue.roomInMs(SERVICE), 100, 'one run in eight slots');
-    const places = Array.from({ length: 4 }, () => all.queue.enter(wish()));
-    t.is(all.queue.roomInMs(SERVICE), 500, 'behind four others');
-    for (const place of places) place.leave();
+    t.is(all.queue.nextSlotInMs(SERVICE), 100, 'one execution in eight slots');
+    const tickets = Array.from({ length: 4 }, () => all.queue.enter(request()));
+    t.is(all.queue.nextSlotInMs(SERVICE), 500, 'after four other requests');
+    for (const ticket of tickets) ticket.leave();
     const none = setup(0);
-    t.is(none.queue.roomInMs(SERVICE), none.finder.knownWithinMs);
+    t.is(none.queue.nextSlotInMs(SERVICE), none.finder.announcedWithinMs);
     await settled();
   });
 
   test(
-    title(
-      'what is late leaves its share of the slots to what keeps coming, but not beyond its end',
-    ),
+    title('a late request leaves slots to new requests, unless it could not be served later'),
     async (t) => {
       const all = setup(2);
       all.finder.free.set('e', 2);
       all.queue.ended(SERVICE, { runMs: 1000 });
-      for (let count = 0; count < 6; count += 1) all.queue.enter(wish()).leave();
+      for (let count = 0; count < 6; count += 1) all.queue.enter(request()).leave();
       all.finder.free.set('e', 2);
-      const order = follow(all, {
-        late: wish({ onTimeUntilMs: -1 }),
-        last: wish({ onTimeUntilMs: -1, deadlineMs: 1450 }),
-        fresh: wish(),
+      const order = collectOrder(all, {
+        late: request({ targetDeadlineMs: -1 }),
+        last: request({ targetDeadlineMs: -1, deadlineMs: 1450 }),
+        fresh: request(),
       });
       await settled();
       t.deepEqual(order, ['last', 'fresh']);
@@ -220,39 +221,42 @@
     },
   );
 
-  test(title('slow answers of a moment do not make all that come look late'), async (t) => {
-    const all = setup(2);
-    for (let count = 0; count < 100; count += 1)
-      all.queue.ended(SERVICE, { runMs: 5000, leadMs: 2000 });
-    for (let count = 0; count < 20; count += 1) all.queue.enter(wish()).leave();
-    all.finder.free.set('e', 1);
-    t.deepEqual(follow(all, { fresh: wish({ deadlineMs: 20_000 }) }), []);
-    await settled();
-    t.is(all.queue.length, 0, 'it goes at once to the slot that is free');
-  });
+  test(
+    title('responses that are slow for a moment do not make all new requests late'),
+    async (t) => {
+      const all = setup(2);
+      for (let count = 0; count < 100; count += 1)
+        all.queue.ended(SERVICE, { runMs: 5000, timeToFirstEventMs: 2000 });
+      for (let count = 0; count < 20; count += 1) all.queue.enter(request()).leave();
+      all.finder.free.set('e', 1);
+      t.deepEqual(collectOrder(all, { fresh: request({ deadlineMs: 20_000 }) }), []);
+      await settled();
+      t.is(all.queue.length, 0, 'it takes the free slot at once');
+    },
+  );
 
   test(
-    title('among the late ones, who was sent somewhere in vain goes first, and waits on'),
+    title('among late requests, those already sent to an endpoint go first and are not refused'),
     async (t) => {
       const all = setup(2);
       all.queue.ended(SERVICE, { runMs: 1000 });
-      const late = { onTimeUntilMs: -1, deadlineMs: 2500 };
-      const order = follow(all, {
-        first: wish(late),
-        second: wish(late),
-        third: wish(late),
-        again: wish({ ...late, tried: new Set(['other']) }),
+      const late = { targetDeadlineMs: -1, deadlineMs: 2500 };
+      const order = collectOrder(all, {
+        first: request(late),
+        second: request(late),
+        third: request(late),
+        again: request({ ...late, tried: new Set(['other']) }),
       });
       await settled();
-      const afterFirstLook = [...order];
+      const afterFirstScan = [...order];
       all.finder.free.set('e', 1);
       all.queue.ended(SERVICE);
       await settled();
-      const afterSecondLook = [...order];
+      const afterSecondScan = [...order];
       all.clock.nowMs = 6000;
       all.queue.ended(SERVICE);
-      t.deepEqual(afterFirstLook, ['third refused'], 'more late ones than can be served');
-      t.deepEqual(afterSecondLook, ['third refused', 'again']);
+      t.deepEqual(afterFirstScan, ['third refused'], 'more late requests than can be served');
+      t.deepEqual(afterSecondScan, ['third refused', 'again']);
     },
   );
 });
--- a/packages/gateway/src/crash-guard.ts
+++ b/packages/gateway/src/crash-guard.ts
@@ -1,105 +1,112 @@
 /**
- * Holds back what ends the endpoints that run it, at this entry and, through the fleet's record, at all.
+ * Quarantines request content that crashes endpoints: at this entry at once, and at all entries
+ * through the fleet's record of crashes.
  */
 import type { Admission, BrokenSend, ContentGuard } from '@shedline/forwarding';
 import type { Logger } from '@shedline/logger';
 import { KnownCrashes } from '@shedline/quarantine';
 import type { CrashChanges } from '@shedline/quarantine';
 import type { CrashReporter } from './crash-reporter.js';
-import type { EndWatch } from './end-watch.js';
+import type { CrashDetector } from './crash-detector.js';
 
-/** When to ask again while somebody else tries the content, or nobody could let this entry try it. */
-const TRIAL_UNDER_WAY_MS = 1000;
+/**
+ * Retry delay while another entry runs the trial request, or no leader could permit this one to.
+ */
+const TRIAL_RETRY_MS = 1000;
 
 /** Options of {@link CrashGuard}. */
 export interface CrashGuardOptions {
-  readonly endWatch: Pick<EndWatch, 'whenEnded'>;
+  readonly crashDetector: Pick<CrashDetector, 'whenCrashed'>;
   readonly reporter: Pick<CrashReporter, 'reportCrash' | 'reportSurvival' | 'beginTrial'>;
   readonly logger: Logger;
   readonly nowMs: () => number;
 }
 
-/** {@link ContentGuard} of one entry. */
+/** {@link ContentGuard} of an entry. */
 export class CrashGuard implements ContentGuard {
   private readonly options: CrashGuardOptions;
-  private readonly known: KnownCrashes;
+  private readonly records: KnownCrashes;
 
   constructor(options: CrashGuardOptions) {
     this.options = options;
-    this.known = new KnownCrashes(options.nowMs);
+    this.records = new KnownCrashes(options.nowMs);
   }
 
   get isIdle(): boolean {
-    return this.known.isEmpty;
+    return this.records.isEmpty;
   }
 
-  /** Contents that are held back now. */
+  /** Number of contents that are quarantined. */
   get heldCount(): number {
-    return this.known.heldCount;
+    return this.records.quarantinedCount;
   }
 
   async admit(contentKey: string): Promise<Admission> {
-    const standing = this.known.standing(contentKey);
-    if (standing.kind === 'free') return { isAdmitted: true };
-    if (standing.kind === 'held') return { isAdmitted: false, retryAfterMs: standing.forMs };
-    const isLet = await this.options.reporter.beginTrial(contentKey, standing.trials);
+    const status = this.records.status(contentKey);
+    if (status.kind === 'free') return { isAdmitted: true };
+    if (status.kind === 'held') return { isAdmitted: false, retryAfterMs: status.forMs };
+    const isPermitted = await this.options.reporter.beginTrial(contentKey, status.trials);
     const { logger } = this.options;
-    logger.info('trial of a content that is held back', {
+    logger.info('trial request for quarantined content', {
       step: 'hold',
       content: contentKey,
-      trials: standing.trials,
-      outcome: isLet ? 'let' : 'not let',
+      trials: status.trials,
+      outcome: isPermitted ? 'let' : 'not let',
     });
-    return isLet ? { isAdmitted: true } : { isAdmitted: false, retryAfterMs: TRIAL_UNDER_WAY_MS };
+    return isPermitted ? { isAdmitted: true } : { isAdmitted: false, retryAfterMs: TRIAL_RETRY_MS };
   }
 
-  heldMs(contentKey: string): number {
-    const standing = this.known.standing(contentKey);
-    if (standing.kind === 'free') return 0;
-    return standing.kind === 'held' ? standing.forMs : TRIAL_UNDER_WAY_MS;
+  quarantinedForMs(contentKey: string): number {
+    const status = this.records.status(contentKey);
+    if (status.kind === 'free') return 0;
+    return status.kind === 'held' ? status.forMs : TRIAL_RETRY_MS;
   }
 
-  crashesOf(contentKey: string): number {
-    return this.known.crashesOf(contentKey);
+  crashCountOf(contentKey: string): number {
+    return this.records.crashCountOf(contentKey);
   }
 
-  brokeOff(send: BrokenSend): void {
-    void this.options.endWatch.whenEnded(send.endpointId, send.address, () => {
-      this.blame(send);
+  noteBrokenSend(send: BrokenSend): void {
+    void this.options.crashDetector.whenCrashed(send.endpointId, send.address, () => {
+      this.recordCrash(send);
     });
   }
 
-  survived(contentKey: string): void {
-    const crashes = this.known.crashesOf(contentKey);
-    if (!this.known.survived(contentKey)) return;
-    this.options.logger.info('content is cleared', { step: 'hold', content: contentKey, crashes });
+  noteExecuted(contentKey: string): void {
+    const crashes = this.records.crashCountOf(contentKey);
+    if (!this.records.recordSurvival(contentKey)) return;
+    this.options.logger.info('content released from quarantine', {
+      step: 'hold',
+      content: contentKey,
+      crashes,
+    });
     this.options.reporter.reportSurvival(contentKey);
   }
 
-  /** Takes news of the fleet's record. */
-  take(changes: CrashChanges, from: string): void {
-    for (const content of this.known.take(changes)) {
-      this.options.logger.info('content is held back', {
+  /** Applies changes of the fleet's record of crashes. */
+  applyChanges(changes: CrashChanges, from: string): void {
+    for (const content of this.records.applyChanges(changes)) {
+      this.options.logger.info('content quarantined', {
         step: 'hold',
         content,
-        crashes: this.known.crashesOf(content),
+        crashes: this.records.crashCountOf(content),
         change: changes.number,
         peer: from,
       });
     }
   }
 
-  private blame(send: BrokenSend): void {
+  private recordCrash(send: BrokenSend): void {
     const { contentKey, knownCrashes, hasBegun, requestId, endpointId } = send;
-    this.known.crashed(contentKey, { knownCrashes, hasBegun });
+    this.records.recordCrash(contentKey, { knownCrashes, hasBegun });
     this.options.reporter.reportCrash({ contentKey, knownCrashes, hasBegun });
-    this.options.logger.info('endpoint ended under a content', {
+    this.options.logger.info('endpoint crashed while processing content', {
       step: 'hold',
       request: requestId,
       endpoint: endpointId,
       content: contentKey,
       hasBegun,
-      crashes: this.known.crashesOf(contentKey),
+      crashes: this.records.crashCountOf(contentKey),
     });
   }
 }
--- /dev/null
+++ b/packages/gateway/src/request-handler.ts
@@ -0,0 +1,167 @@
+/**
+ * Handles callers' requests: finds the route, checks the workspace's quota, computes the deadline
+ * and forwards. Requests without a route, or in the last phase of a graceful shutdown, are refused.
+ */
+import { CallerTimeLimits } from '@shedline/admission';
+import { chooseService } from '@shedline/fleet';
+import type { KnownFleet, Route, RouteTable, Workspace } from '@shedline/fleet';
+import type { ResponseSink, CallerRequest, Forwarder } from '@shedline/forwarding';
+import type { Logger } from '@shedline/logger';
+import type { ProcessMetrics } from '@shedline/metrics';
+import type { GracefulShutdown } from './graceful-shutdown.js';
+import type { QuotaEnforcer, QuotaRefusal, QuotaVerdict } from './quota-enforcer.js';
+
+/** Retry delay for callers refused before the routes are known; they should try another entry. */
+const NOT_READY_RETRY_MS = 300;
+/** Retry delay for callers refused during shutdown; they should try another entry. */
+const STOPPING_RETRY_MS = 100;
+
+/** A decoded request of a caller. */
+export interface IncomingRequest {
+  readonly caller: CallerRequest;
+  readonly host: string;
+  /** Workspace of the caller; undefined if the route requires no API key. */
+  readonly workspace: Workspace | undefined;
+  /** Time for which the caller waits, from its request on; undefined if the caller did not say. */
+  readonly timeLeftMs: number | undefined;
+  /** Time for which the request was held while the entry started. */
+  readonly heldMs: number;
+}
+
+/** A request with its route. */
+interface AdmittedRequest extends IncomingRequest {
+  readonly route: Route;
+  readonly routes: RouteTable;
+  /** Time of the caller's request on the entry's clock. */
+  readonly askedAtMs: number;
+}
+
+/** Options of {@link RequestHandler}. */
+export interface RequestHandlerOptions {
+  readonly fleet: KnownFleet;
+  readonly forwarder: Forwarder;
+  readonly quotas: Pick<QuotaEnforcer, 'admit' | 'refund'>;
+  readonly stop: Pick<GracefulShutdown, 'isClosing'>;
+  readonly metrics: ProcessMetrics;
+  readonly logger: Logger;
+  readonly random: () => number;
+  readonly nowMs: () => number;
+}
+
+/** Forwards the requests of callers, and counts those in progress. */
+export class RequestHandler {
+  private readonly options: RequestHandlerOptions;
+  private openCount = 0;
+  /** Time limits observed from callers, by route name. */
+  private readonly timeLimits = new Map<string, CallerTimeLimits>();
+
+  constructor(options: RequestHandlerOptions) {
+    this.options = options;
+  }
+
+  /** Number of requests in progress. */
+  get openRequests(): number {
+    return this.openCount;
+  }
+
+  /** Forwards a request and writes the response to the sink. */
+  async forward(incoming: IncomingRequest, sink: ResponseSink): Promise<void> {
+    const { caller, host, workspace, heldMs } = incoming;
+    if (this.options.stop.isClosing) {
+      this.refuseAtShutdown(caller.requestId, sink);
+      return;
+    }
+    const { routes } = this.options.fleet;
+    const route = routes?.find(host, caller.path);
+    if (routes === undefined || route === undefined) {
+      this.refuseUnrouted(incoming, sink);
+      return;
+    }
+    const admitted = { ...incoming, route, routes, askedAtMs: this.options.nowMs() - heldMs };
+    this.openCount += 1;
+    try {
+      const verdict = await this.checkQuota(workspace, routes);
+      if (verdict.mayPass) await this.forwardAdmitted(admitted, sink);
+      else this.refuseOverQuota(incoming, verdict, sink);
+    } finally {
+      this.openCount -= 1;
+    }
+  }
+
+  /** Checks whether the rate limit of a workspace permits one more request. */
+  private checkQuota(
+    workspace: Workspace | undefined,
+    { version }: RouteTable,
+  ): QuotaVerdict | Promise<QuotaVerdict> {
+    if (workspace === undefined) return { mayPass: true };
+    return this.options.quotas.admit(workspace, version);
+  }
+
+  private async forwardAdmitted(admitted: AdmittedRequest, sink: ResponseSink): Promise<void> {
+    const { caller, workspace, route, routes, timeLeftMs, askedAtMs } = admitted;
+    const { forwarder, quotas, metrics, random, nowMs } = this.options;
+    const limitMs = Math.min(route.timeLimitMs, timeLeftMs ?? route.timeLimitMs);
+    const end = await forwarder.run({
+      request: caller,
+      route,
+      service: chooseService(route, random()),
+      rank: workspace?.rank ?? route.rank,
+      version: routes.version,
+      deadlineMs: askedAtMs + limitMs,
+      arrivedAtMs: askedAtMs,
+      firstAttemptAtMs: askedAtMs - this.callerAgeMs(route, timeLeftMs),
+      sink,
+    });
+    if (end === 'refused' && workspace !== undefined) quotas.refund(workspace, routes.version);
+    const { name } = route;
+    metrics.count('shedline_requests_total', { route: name, outcome: end });
+    metrics.recordDuration('shedline_request_milliseconds', { route: name }, nowMs() - askedAtMs);
+  }
+
+  /** Estimates the time since the caller's first attempt from the time that it still waits. */
+  private callerAgeMs(route: Route, timeLeftMs: number | undefined): number {
+    if (timeLeftMs === undefined) return 0;
+    const known = this.timeLimits.get(route.name);
+    const timeLimits = known ?? new CallerTimeLimits();
+    if (known === undefined) this.timeLimits.set(route.name, timeLimits);
+    timeLimits.record(timeLeftMs);
+    return timeLimits.sinceFirstAttemptMs(timeLeftMs);
+  }
+
+  private refuseAtShutdown(request: string, sink: ResponseSink): void {
+    this.options.logger.info('request refused', { step: 'stop', request, outcome: 503 });
+    sink.refuse(503, { retryAfterMs: STOPPING_RETRY_MS });
+  }
+
+  private refuseOverQuota(
+    { caller, workspace }: IncomingRequest,
+    { status, retryAfterMs }: QuotaRefusal,
+    sink: ResponseSink,
+  ): void {
+    this.options.logger.info('request refused', {
+      step: 'quota',
+      request: caller.requestId,
+      workspace: workspace?.name,
+      ...workspace?.limit,
+      outcome: status,
+      retryAfterMs,
+    });
+    this.options.metrics.count('shedline_over_quota_total', { status });
+    sink.refuse(status, { retryAfterMs });
+  }
+
+  private refuseUnrouted({ caller, host }: IncomingRequest, sink: ResponseSink): void {
+    const version = this.options.fleet.position.version;
+    const status = this.options.fleet.routes !== undefined ? 404 : 503;
+    this.options.logger.info('request refused', {
+      step: 'route',
+      request: caller.requestId,
+      host,
+      path: caller.path,
+      version,
+      outcome: status,
+    });
+    if (status === 404) sink.refuse(404, {});
+    else sink.refuse(503, { retryAfterMs: NOT_READY_RETRY_MS });
+  }
+}
--- a/packages/table/src/index.ts
+++ b/packages/table/src/index.ts
@@ -1,8 +1,8 @@
 /**
- * The table of weights and limits.
+ * Replicated table of the weights and limits of services.
  */
 export * from './commands.js';
 export * from './fields.js';
 export * from './table.js';
 export * from './table-view.js';
-export * from './in-force.js';
+export * from './revision-tracker.js';
