--- a/packages/admission/src/fair-queue-order.ts
+++ b/packages/admission/src/fair-queue-order.ts
@@ -16,8 +16,8 @@
 const DECAY_TIME_MS = 5000;
 /**
  * A rank is starved if the share of its requests that are served falls below this part of the
- * share over all ranks. No rank may fall below a third; the margin covers the delay and the decay
- * of the counts.
+ * share over all ranks. No rank may fall below a third of it; the margin covers the delay and the
+ * decay of the counts.
  */
 const STARVED_SHARE = 0.45;
 /** Decayed count of a rank's requests below which it never counts as starved. */
@@ -60,7 +60,7 @@
    * Returns the requests in the order in which they get an endpoint: by rank and timeliness as in
    * {@link compareWaitingRequests}; within these by how many requests of the workspace were served
    * recently or are queued before it; then by {@link compareWaitingRequests}. The first request of
-   * a starved rank goes before all others.
+   * a starved rank comes before all others.
    */
   order<T extends { readonly request: QueuedRequest }>(waiting: readonly T[], nowMs: number): T[] {
     this.decay(nowMs);
--- a/packages/admission/src/quota.ts
+++ b/packages/admission/src/quota.ts
@@ -127,7 +127,6 @@
     }
   }
 
-  /** Whether this owner may grant now. */
   protected mayGrant(nowMs: number): boolean {
     if (!this.hasMajority(nowMs)) {
       this.majoritySinceMs = undefined;
--- a/packages/admission/src/row-limits.ts
+++ b/packages/admission/src/row-limits.ts
@@ -26,9 +26,9 @@
   readonly requests: RateBucket;
   readonly tokens: RateBucket;
   concurrent: number;
-  /** Smoothed arrival rate a second, refused requests included. */
+  /** Smoothed number of arrivals per second, refused requests included. */
   requestRate: number;
-  /** Smoothed rate of used tokens a second. */
+  /** Smoothed number of tokens used per second. */
   tokenRate: number;
   /** Highest concurrency since the last demand. */
   peakConcurrent: number;
--- a/packages/admission/src/wait-estimate.ts
+++ b/packages/admission/src/wait-estimate.ts
@@ -13,7 +13,7 @@
   readonly deadlineMs: number;
   /** Time by which the response has to begin, if the caller would disconnect otherwise. */
   readonly firstEventDeadlineMs?: number;
-  /** Time from which a late request goes first, since it would soon miss its deadline. */
+  /** Time from which a late request is served first, since it would soon miss its deadline. */
   readonly urgentFromMs?: number;
 }
 
@@ -44,8 +44,8 @@
 /**
  * Assumed run time before the first request completes, for the slots kept for new requests. It is
  * deliberately long, as it applies for only one run time after a start. After a total power loss
- * during a peak, 0.76 of the achievable value was reached with 1.5 s, 0.74 with 0.7 s, 0.71 with
- * 0.3 s and 0.69 without it (56 entries, 28 endpoints).
+ * during a peak, simulated requests reached 0.76 of their achievable value with 1.5 s, 0.74 with
+ * 0.7 s, 0.71 with 0.3 s and 0.69 without it (56 entries, 28 endpoints, one of three seeds).
  */
 const INITIAL_RUN_MS = 1000;
 /** Share of the slots assumed to serve late requests while new requests keep arriving. */
--- a/packages/directory/src/endpoint-directory.ts
+++ b/packages/directory/src/endpoint-directory.ts
@@ -91,8 +91,8 @@
   }
 
   /**
-   * Applies an announcement that was made `ageMs` ago. Returns false if a newer announcement is known.
-   * An incarnation that has announced that it drains never becomes usable again.
+   * Applies an announcement that was made `ageMs` ago. Returns false if a newer announcement is
+   * known. An incarnation that has announced that it drains never becomes usable again.
    */
   observe(announcement: Announcement, ageMs: number, nowMs: number): boolean {
     const known = this.records.get(announcement.endpointId);
@@ -110,7 +110,7 @@
 
   /**
    * Applies a heartbeat, which carries only the fields that change. Returns false if a newer
-   * announcement, or not this incarnation, is known.
+   * announcement is known, or if this incarnation is not the known one.
    */
   applyHeartbeat(heartbeat: Heartbeat, ageMs: number, nowMs: number): boolean {
     const known = this.records.get(heartbeat.endpointId)?.announcement;
@@ -202,10 +202,11 @@
   }
 
   /**
-   * Records that the process of an endpoint has ended: it receives no requests until it is announced
-   * again, however many others are ejected. The usual ejection does not suffice here: with 0.8 s and at
-   * most a third of the pool, 12 endpoints of which 5 had ended drew 141 attempts to closed ports in
-   * 3 s, and requests were refused although other endpoints were up.
+   * Records that the process of an endpoint has ended: it receives no requests until it is
+   * announced again, however many others are ejected. The usual ejection does not suffice here:
+   * with ejections of 0.8 s and at most a third of the pool ejected, 12 endpoints of which 5 had
+   * ended received 141 attempts to closed ports in 3 s, and requests were refused although other
+   * endpoints were up.
    */
   ended(endpointId: string, nowMs: number): void {
     const record = this.records.get(endpointId);
--- a/packages/directory/src/lease-clock.ts
+++ b/packages/directory/src/lease-clock.ts
@@ -25,7 +25,7 @@
     this.options = options;
   }
 
-  /** Records a message of the third party, also one without changes. */
+  /** Records a message of the third party, even if it contains no changes. */
   messageReceived(nowMs: number): void {
     this.readingMs = this.at(nowMs);
     this.lastReceivedAtMs = nowMs;
--- a/packages/gateway/src/caller-addresses.ts
+++ b/packages/gateway/src/caller-addresses.ts
@@ -6,7 +6,8 @@
 /** Maximum number of addresses in one response; callers accept no more. */
 const MAX_ADDRESSES = 64;
 /**
- * Minimum number of entries in the caller's zone to omit the other zones: one of them may be down.
+ * Number of entries in the caller's zone from which the other zones are omitted; one of these
+ * entries may be down.
  */
 const MIN_IN_ZONE = 2;
 
--- a/packages/gateway/src/crash-detector.test.ts
+++ b/packages/gateway/src/crash-detector.test.ts
@@ -49,7 +49,7 @@
     t.deepEqual(setup.crashed, ['e']);
   });
 
-  test(title('reports no crash of an endpoint that announced that it leaves'), async (t) => {
+  test(title('reports no crash of an endpoint that announced that it drains'), async (t) => {
     const setup = new Setup();
     setup.leaving.add('e');
     t.false(await setup.detector.hasCrashed('e', ADDRESS));
--- a/packages/gateway/src/crash-detector.ts
+++ b/packages/gateway/src/crash-detector.ts
@@ -1,7 +1,7 @@
 /**
  * Detects endpoint crashes after a response breaks. A broken connection alone is no evidence, since
  * it may have been reset in the network; a closed port is, and so is a new incarnation with the
- * same id. An endpoint that announced that it leaves has not crashed, and an unresponsive one may
+ * same id. An endpoint that announced that it drains has not crashed, and an unresponsive one may
  * be partitioned.
  */
 import type { ListeningProbe } from '@shedline/forwarding';
@@ -18,7 +18,7 @@
 /** Options of {@link CrashDetector}. */
 export interface CrashDetectorOptions {
   readonly probe: ListeningProbe;
-  /** Whether an incarnation of an endpoint has announced that it leaves. */
+  /** Whether an incarnation of an endpoint has announced that it drains. */
   readonly isLeaving: (endpointId: string) => boolean;
   /** Called once for each detected crash. */
   readonly onCrashed: (endpointId: string) => void;
@@ -97,7 +97,7 @@
 
   private async probePort(endpointId: string, address: string): Promise<boolean> {
     const state = await this.options.probe.probe(address);
-    // It may have announced that it leaves, and stopped, during the probe.
+    // The endpoint may have announced that it drains, and stopped, during the probe.
     if (state !== 'closed' || this.options.isLeaving(endpointId)) return false;
     this.recordCrash(endpointId, 'closed port');
     return true;
--- a/packages/gateway/src/crash-reporter.ts
+++ b/packages/gateway/src/crash-reporter.ts
@@ -21,8 +21,8 @@
 /** Maximum contents of either kind in one command; the rest is sent in the next one. */
 const MAX_PER_COMMAND = 64;
 /**
- * Maximum pending contents of either kind; if the whole fleet stops at once, further reports mean
- * nothing.
+ * Maximum pending contents of either kind; if the whole fleet stops at once, further reports are
+ * no evidence.
  */
 const MAX_PENDING = 512;
 
--- a/packages/gateway/src/endpoint-pool.test.ts
+++ b/packages/gateway/src/endpoint-pool.test.ts
@@ -257,7 +257,7 @@
     t.deepEqual(setup.replaced, []);
   });
 
-  test(title('an incarnation that leaves is not used, but the next one is'), (t) => {
+  test(title('an incarnation that drains is not used, but the next one is'), (t) => {
     const setup = new Setup();
     setup.observeRun('a', 1000, 1);
     setup.pool.markLeaving([FIRST_RUN]);
--- a/packages/gateway/src/endpoint-pool.ts
+++ b/packages/gateway/src/endpoint-pool.ts
@@ -46,7 +46,8 @@
 const USUAL_CONTROL_SILENCE_MS = 700;
 /**
  * Time without data from any control process after which leases expire nevertheless: three times
- * the usual time for which callers cache addresses, after which none uses a disconnected entry.
+ * the usual time for which callers cache addresses, after which no caller uses a disconnected
+ * entry.
  */
 const LONGEST_CONTROL_SILENCE_MS = 15_000;
 
@@ -80,8 +81,8 @@
   /** Called when a new incarnation of an endpoint replaces the previous one, at `address`. */
   readonly onRunReplaced: (endpointId: string, address: string, heartbeatAgeMs: number) => void;
   /**
-   * Called when an attempt fails without data for its time limit, by whether the response had
-   * begun.
+   * Called when an attempt fails because no data arrived within its time limit; `moment` states
+   * whether the response had begun.
    */
   readonly onTimeout: (moment: 'begun' | 'notBegun') => void;
 }
@@ -323,8 +324,8 @@
    * Chooses in the subset; endpoints outside it are used only if half of the subset is unusable.
    * Their load is not reported to this entry, so a short known queue is better. When entries left
    * the subset as soon as it had no free slot and assumed other endpoints to be idle, 98 of 409
-   * requests of a peak left it and 35 of these missed their target; 2 of the 19 that queued in the
-   * subset did (one zone of a fleet of 165 entries and 52 endpoints).
+   * requests of a peak left it and 35 of these missed their target; of the 19 that queued in the
+   * subset, 2 missed it (one zone of a fleet of 165 entries and 52 endpoints).
    */
   private chooseCandidate(
     service: string,
@@ -353,7 +354,7 @@
   }
 
   /**
-   * Returns whether a timeout says nothing about the endpoint's health. Once a response has begun,
+   * Returns whether a timeout is no evidence of an unhealthy endpoint. Once a response has begun,
    * the connection is suspected: the next request opens a new one, which fails at once if the
    * endpoint has stopped. Before that, the request may have been queued at an endpoint without a
    * free slot.
@@ -385,7 +386,7 @@
   /**
    * Returns the online requests at an endpoint. Until the other entries have reported theirs, each
    * is assumed to have as many as this one. Without this, entries that all restarted in a peak took
-   * the endpoints for idle and sent 560 requests to 224 slots in 0.8 s, and later requests waited
+   * the endpoints to be idle and sent 560 requests to 224 slots in 0.8 s, and later requests waited
    * 0.45 s behind them.
    */
   private onlineAt(endpointId: string, nowMs: number): number {
--- a/packages/gateway/src/fleet-follower.ts
+++ b/packages/gateway/src/fleet-follower.ts
@@ -67,8 +67,8 @@
    */
   private hasReadQuorum = false;
   /**
-   * Changes pushed before that, possibly by a control process that has not caught up after a
-   * restart.
+   * Changes pushed before the initial read, possibly by a control process that has not caught up
+   * after a restart.
    */
   private readonly earlyDeltas: { readonly delta: FleetDelta; readonly from: string }[] = [];
   private hasEndpoints = false;
--- a/packages/gateway/src/gateway-process.ts
+++ b/packages/gateway/src/gateway-process.ts
@@ -54,7 +54,7 @@
 const PEER_RETRY_MS = 400;
 /** Maximum wait for one control process during the initial read before the next one is tried. */
 const MAX_CONTROL_ATTEMPT_MS = 500;
-/** Maximum pause between attempts of the initial read, which held callers wait for. */
+/** Maximum pause between attempts of the initial read; callers held during startup wait for it. */
 const MAX_CONTROL_PAUSE_MS = 40;
 /**
  * Maximum wait for one store before the next one is tried, since a store without power never
--- a/packages/gateway/src/item-runner.ts
+++ b/packages/gateway/src/item-runner.ts
@@ -27,8 +27,8 @@
 const IDLE_GRANT_INTERVAL_MS = 200;
 /**
  * Number of entries with batch work up to which each sends requests at the full rate; with more,
- * the total rate stays constant. Only entries that can own an endpoint count: when all of 165
- * entries with 52 endpoints did, a free slot waited 0.6 s for its next item.
+ * the total rate stays constant. Only entries that can own an endpoint are counted: when all
+ * 165 entries of a fleet with 52 endpoints were, a free slot waited 0.6 s for its next item.
  */
 const ENTRIES_AT_FULL_GRANT_RATE = 16;
 const GRANT_TIMEOUT_MS = 1000;
--- a/packages/gateway/src/load-reporter.ts
+++ b/packages/gateway/src/load-reporter.ts
@@ -67,7 +67,7 @@
         else known.push(count);
       }
     }
-    // Without a connection the report is dropped: to this entry itself, and to disconnected ones.
+    // Reports to this entry itself and to disconnected entries are dropped: there is no connection.
     for (const [user, userCounts] of byUser) this.options.entries.send(user, 'loads', userCounts);
   }
 }
--- a/packages/gateway/src/quota-enforcer.ts
+++ b/packages/gateway/src/quota-enforcer.ts
@@ -12,9 +12,9 @@
 import { rendezvousOrder } from '@shedline/types';
 
 /**
- * Time for which admitted requests are collected into one report. At ten times the limit, this
- * admits half a second's worth of its rate, less than the part of a burst that is left when entries
- * begin to ask; see `RequestLedger`.
+ * Time for which admitted requests are collected into one report. At ten times the limit, as
+ * many requests are admitted in this time as the limit permits in half a second; that is less than
+ * the part of a burst that is left when entries begin to request grants; see `RequestLedger`.
  */
 const REPORT_AFTER_MS = 50;
 /**
@@ -182,7 +182,7 @@
     return { mayPass: false, status: 429, retryAfterMs };
   }
 
-  /** Returns the counter's reply; undefined if there is none in time. */
+  /** Returns the counter's reply; undefined if no counter is reachable or the call fails. */
   private async callCounter(
     workspace: string,
     requests: readonly PendingRequest[],
--- a/packages/gateway/src/request-handler.ts
+++ b/packages/gateway/src/request-handler.ts
@@ -22,7 +22,7 @@
   readonly host: string;
   /** Workspace of the caller; undefined if the route requires no API key. */
   readonly workspace: Workspace | undefined;
-  /** Time for which the caller waits, from its request on; undefined if the caller did not say. */
+  /** Time for which the caller waits, from its request on; undefined if not stated. */
   readonly timeLeftMs: number | undefined;
   /** Time for which the request was held while the entry started. */
   readonly heldMs: number;
--- a/packages/gateway/src/store-connections.ts
+++ b/packages/gateway/src/store-connections.ts
@@ -9,7 +9,7 @@
 import type { PeerConnections } from '@shedline/transport';
 
 /**
- * Time for which an unneeded connection is kept: leadership moves back and forth around a fault.
+ * Time for which an unneeded connection is kept: leadership may move back and forth during a fault.
  */
 export const STORE_LINGER_MS = 10_000;
 
--- a/packages/quarantine/src/known-crashes.ts
+++ b/packages/quarantine/src/known-crashes.ts
@@ -8,8 +8,8 @@
 
 /**
  * Quarantine before the next trial request, by the number of earlier trials; the last value applies
- * from then on. A minute suits a frequent content that ran during two outages; the later values
- * suit the time in which a model may be repaired.
+ * from then on. A minute suits a harmless, frequent content whose endpoints an outage stopped
+ * twice; the later values allow for the time that the repair of a model takes.
  */
 const QUARANTINE_MS = [60_000, 600_000, 7_200_000, 86_400_000] as const;
 const MAX_QUARANTINE_MS = 86_400_000;
@@ -82,7 +82,6 @@
     return this.currentRecord(contentKey).crashes;
   }
 
-  /** Returns the present status of a content. */
   status(contentKey: string): ContentStatus {
     const known = this.currentRecord(contentKey);
     if (!isQuarantined(known)) return { kind: 'free' };
--- a/packages/quarantine/src/quarantine-rule.ts
+++ b/packages/quarantine/src/quarantine-rule.ts
@@ -21,12 +21,15 @@
 }
 
 /**
- * Crashes before the response from which a content is quarantined. Each further crash costs all
- * requests of its endpoint, up to 8, and 2 to 3 s of its capacity; a harmless content that is
+ * Number of crashes before the response at which a content is quarantined. Each further crash costs
+ * all requests of its endpoint, up to 8, and 2 to 3 s of its capacity; a harmless content that is
  * quarantined has already lost two runs.
  */
 const QUARANTINE_CRASHES_BEFORE_RESPONSE = 2;
-/** Crashes at any time from which a content is quarantined: some crash during the response. */
+/**
+ * Number of crashes, before or during the response, at which a content is quarantined; some
+ * contents crash endpoints only during the response.
+ */
 const QUARANTINE_CRASHES = 3;
 
 /** Whether a content with this count is quarantined. */
--- a/packages/quota/src/request-ledger.ts
+++ b/packages/quota/src/request-ledger.ts
@@ -30,7 +30,7 @@
  * counter, and report to it what they admitted before.
  */
 const TAKEOVER_WAIT_MS = 600;
-/** Time between two calls of {@link RequestLedger.tick} from which this process was suspended. */
+/** Gap between two calls of {@link RequestLedger.tick} that shows a suspension of this process. */
 const SUSPENSION_GAP_MS = 2000;
 
 /** Options of {@link RequestLedger}. */
@@ -114,8 +114,9 @@
   }
 
   /**
-   * Removes idle counts; called several times a second. After a suspension all counts start anew:
-   * other processes were the counters meanwhile, and buckets refilled here would be granted twice.
+   * Removes idle counts; called several times a second. After a suspension of this process all
+   * counts are discarded: other processes were the counters during that time, and what the buckets
+   * here refill for it would be granted twice.
    */
   tick(nowMs: number): void {
     if (nowMs - (this.lastTickAtMs ?? nowMs) > SUSPENSION_GAP_MS) {
--- a/packages/quota/src/request-share.ts
+++ b/packages/quota/src/request-share.ts
@@ -68,7 +68,10 @@
       this.nearUntilMs.set(workspace, nowMs + NEAR_LIMIT_LEASE_MS);
   }
 
-  /** Sets the number of entries. The largest value ever is used, as partitioned entries go on. */
+  /**
+   * Records the number of entries. The largest number so far is used, because entries that are
+   * partitioned continue to admit requests.
+   */
   recordEntryCount(count: number): void {
     this.maxEntryCount = Math.max(this.maxEntryCount, count);
   }
--- a/packages/routing/src/load-view.ts
+++ b/packages/routing/src/load-view.ts
@@ -58,7 +58,7 @@
     else peers.set(peer, { ...counts, atMs: nowMs });
   }
 
-  /** Returns the online requests at an endpoint; unattributed load is included by default. */
+  /** Returns the number of online requests at an endpoint, by default with unattributed load. */
   online(endpointId: string, nowMs: number, includesUnattributed = true): number {
     const state = this.states.get(endpointId);
     if (state === undefined) return 0;
@@ -67,12 +67,12 @@
     return includesUnattributed ? total + this.decayedUnattributed(state, nowMs) : total;
   }
 
-  /** Returns the online requests of this entry at an endpoint. */
+  /** Returns the number of online requests of this entry at an endpoint. */
   ownOnline(endpointId: string): number {
     return this.states.get(endpointId)?.ownOnline ?? 0;
   }
 
-  /** Returns the batch requests at an endpoint. */
+  /** Returns the number of batch requests at an endpoint. */
   batch(endpointId: string, nowMs: number): number {
     const state = this.states.get(endpointId);
     if (state === undefined) return 0;
@@ -95,14 +95,13 @@
     }));
   }
 
-  /** Removes all other endpoints. */
+  /** Removes the endpoints that are not in `endpointIds`. */
   removeAllExcept(endpointIds: ReadonlySet<string>): void {
     for (const endpointId of this.states.keys()) {
       if (!endpointIds.has(endpointId)) this.states.delete(endpointId);
     }
   }
 
-  /** Removes an endpoint. */
   remove(endpointId: string): void {
     this.states.delete(endpointId);
   }
