--- a/packages/consensus/src/consensus.test.ts
+++ b/packages/consensus/src/consensus.test.ts
@@ -130,8 +130,8 @@
 }
 
 /**
- * Partitions a follower for 10 s. Returns how far the highest term rose meanwhile, and whether the
- * leader is still the same after the partition.
+ * Partitions a follower for 10 s. Returns how far the highest term rose during the partition, and
+ * whether the leader is still the same after it.
  */
 function isolateMember(
   rules: GroupRules,
--- a/packages/consensus/src/progress.ts
+++ b/packages/consensus/src/progress.ts
@@ -79,7 +79,7 @@
     this.inFlightLastIndexes = [];
   }
 
-  /** Goes back to probing, from the entry after the matching index. */
+  /** Returns to probing, from the entry after the matching index. */
   restartProbing(): void {
     this.state = 'probe';
     this.isProbeInFlight = false;
--- a/packages/control/src/job-leader-tasks.ts
+++ b/packages/control/src/job-leader-tasks.ts
@@ -44,7 +44,7 @@
     machine.busyMs = machine.jobs.openJobs().length === 0 ? 0 : machine.busyMs + intervalMs;
   }
 
-  /** Renews leases; returns the ids of those that are not open. */
+  /** Renews leases; returns the ids of the leases that are not open. */
   renew(host: GroupHost, leaseIds: readonly string[], nowMs: number): string[] {
     if (!(host.machine instanceof JobGroup)) return [];
     const open = new Set(host.machine.jobs.openLeaseIds);
@@ -55,7 +55,7 @@
     return leaseIds.filter((leaseId) => !open.has(leaseId));
   }
 
-  /** Restarts the time of all leases of a group, when this instance gains or loses leadership. */
+  /** Called when this instance gains or loses leadership; restarts the time of the group leases. */
   roleChanged(group: number): void {
     this.leaseClocks.get(group)?.clear();
   }
--- a/packages/control/src/partition.test.ts
+++ b/packages/control/src/partition.test.ts
@@ -52,7 +52,7 @@
     return leading[0]?.[0] ?? '';
   }
 
-  /** Partitions a node from the majorityClient without closing connections, or reconnects it. */
+  /** Partitions a node from the majority without closing connections, or reconnects it. */
   setPartitioned(name: string, isPartitioned: boolean): void {
     for (const [link, relay] of this.relays) {
       if (link.split('>').includes(name)) relay.setPartitioned(isPartitioned);
--- a/packages/fencing/src/order-gate.ts
+++ b/packages/fencing/src/order-gate.ts
@@ -77,7 +77,10 @@
     return (this.leaseMs + this.orderTimeoutMs) * (1 + this.maxDriftShare);
   }
 
-  /** Sent orders may outlast the lease by the order timeout; the successor waits for that, too. */
+  /**
+   * Whether the lease is valid, whatever the clock drift. An order sent before the lease ends may
+   * last for the order timeout after it, which the wait of the successor includes.
+   */
   private holdsLease(nowMs: number): boolean {
     return nowMs < this.confirmedAtMs + this.leaseMs * (1 - this.maxDriftShare);
   }
--- a/packages/fleet-control/src/group-settings.ts
+++ b/packages/fleet-control/src/group-settings.ts
@@ -6,9 +6,9 @@
 /** Three missed heartbeats and a margin, so that an election takes less than a second. */
 const ELECTION_TIMEOUT_MS = 600;
 /**
- * First election timeout after a start. It may be short: connections are established 30 ms after a
- * process listens when a whole fleet restarts, an existing leader rejects the pre-vote, and each
- * attempt doubles the timeout.
+ * First election timeout after a start. It may be short: when a whole fleet restarts, connections
+ * are established 30 ms after a process listens; a group that has a leader rejects the pre-vote;
+ * and each attempt doubles the timeout.
  */
 const FIRST_ELECTION_TIMEOUT_MS = 70;
 /** A follower learns of a commit within one interval. */
--- a/packages/fleet/src/endpoint-registry.ts
+++ b/packages/fleet/src/endpoint-registry.ts
@@ -91,7 +91,7 @@
   }
 }
 
-/** Sequences start anew in each incarnation. */
+/** Sequences restart with each incarnation, so only those of one incarnation are compared. */
 function isNewer(heartbeat: EndpointHeartbeat, known: EndpointHeartbeat): boolean {
   if (heartbeat.startedAtMs !== known.startedAtMs) return heartbeat.startedAtMs > known.startedAtMs;
   return heartbeat.sequence > known.sequence;
--- a/packages/forwarding/src/endpoint-connections.ts
+++ b/packages/forwarding/src/endpoint-connections.ts
@@ -17,9 +17,9 @@
 /**
  * Idle time after which a connection is not reused. With 4 s and without single-use connections, 8
  * of 16 requests were lost after 8 idle connections had become unresponsive; with this value none
- * are. In a fleet of 4 entries and 5 endpoints, 0.25 to 0.40 of the requests of the following 3 s
- * succeeded with 4 s (over 4 seeds). Opening a connection takes one round trip of 0.2 to 2 ms;
- * requests take 20 ms or more.
+ * are. With 4 s in a fleet of 4 entries and 5 endpoints, a share of only 0.25 to 0.40 of the
+ * requests in the 3 s after such a failure succeeded (over 4 seeds). Opening a
+ * connection takes one round trip of 0.2 to 2 ms; requests take 20 ms or more.
  */
 const KEEP_ALIVE_MS = 300;
 /** Maximum number of connections in each of the two pools of an endpoint. */
--- a/packages/forwarding/src/endpoint-sender.test.ts
+++ b/packages/forwarding/src/endpoint-sender.test.ts
@@ -149,7 +149,7 @@
   );
 
   test(
-    title('fails the sends to a previous incarnation, but not those that the new one responds to'),
+    title('fails the sends to a previous incarnation, but not sends that the new one responds to'),
     async (t) => {
       const sockets: Socket[] = [];
       const server = await startEndpoint((socket) => sockets.push(socket));
--- a/packages/forwarding/src/forwarded-request.ts
+++ b/packages/forwarding/src/forwarded-request.ts
@@ -18,10 +18,10 @@
 const SILENCE_FACTOR = 2;
 const MIN_SILENCE_MS = 500;
 /**
- * Minimum time without an event after which callers abandon a stream. The time is two seconds, four
- * times the target or eight times the longest pause between events, whichever is longest. When late
- * requests waited for their deadline of 5 s instead, 504 of them were abandoned after 2 s in one
- * day of overload.
+ * Lower limit of the time without an event after which callers abandon a stream. The time itself is
+ * two seconds, four times the target or eight times the longest pause between events, whichever is
+ * longest. When late requests waited for their deadline of 5 s instead, callers abandoned 504 of
+ * them after 2 s in one day of overload.
  */
 const MIN_CALLER_TIMEOUT_MS = 2000;
 
@@ -273,8 +273,8 @@
 
   /**
    * Returns the silence rule of the next send. An unresponsive endpoint is given up only for a
-   * stream that may continue elsewhere. Responses other than streams arrive whole at the end, so
-   * silence before says nothing.
+   * stream that may continue elsewhere. Other responses arrive whole
+   * when the execution ends, so a lack of received bytes before is no sign of a failure.
    */
   private silenceRule(): { readonly silence?: SilenceRule } {
     const { kind, targetMs, longestPauseMs } = this.task.route;
--- a/packages/mesh/src/control-choice.test.ts
+++ b/packages/mesh/src/control-choice.test.ts
@@ -123,7 +123,7 @@
 
 describe('a fleet with control processes outside the core', () => {
   test(
-    title('each process finally connects to the core only, whatever its seeds are'),
+    title('each process eventually connects to the core only, whatever its seeds are'),
     async (t) => {
       const first = await TestProcess.start({
         name: 'c1',
--- a/packages/storage/src/item-files.ts
+++ b/packages/storage/src/item-files.ts
@@ -28,7 +28,7 @@
 export interface ItemFiles {
   /** Writes a record at an offset; returns the offset after it. */
   writeRecord(file: string, offset: number, body: Uint8Array): number;
-  /** Reads the record at an offset; throws `corrupt_storage` if it is corruptRecord. */
+  /** Reads the record at an offset; throws `corrupt_storage` if it is damaged. */
   readRecord(file: string, offset: number): Buffer;
   /** Reads bytes for the transfer to another replica; fewer at the end of the file. */
   readRaw(file: string, offset: number, sizeBytes: number): Buffer;
--- a/packages/table/src/table.test.ts
+++ b/packages/table/src/table.test.ts
@@ -39,7 +39,7 @@
 
 describe('Table', () => {
   test(
-    title('of two edits with the same revision one is applied and the other gets the row'),
+    title('of two edits with the same revision, one is applied and the other gets the current row'),
     (t) => {
       const table = createTable();
       t.is(table.apply(edit('e1', 'a', 2, 1)).outcome, 'accepted');
--- a/packages/transport/src/peer-connections.ts
+++ b/packages/transport/src/peer-connections.ts
@@ -105,7 +105,7 @@
       const sinceMs = this.unneededSinceMs.get(name) ?? nowMs;
       this.unneededSinceMs.set(name, sinceMs);
       const hasLingered = nowMs - sinceMs >= (this.options.lingerMs ?? 0);
-      // A lost connection is not kept, as it would only be reopened in vain.
+      // A lost connection is not kept: reopening it would serve no purpose.
       if (hasLingered || client.isDown) this.remove(name, client);
     }
   }
