--- a/packages/client/src/entry-addresses.ts
+++ b/packages/client/src/entry-addresses.ts
@@ -1,6 +1,7 @@
 /**
- * Chooses the entries to call: caches the response of `/v1/addresses` for as long as it says, and
- * avoids addresses that failed recently. Does no I/O; the caller passes the time.
+ * Chooses the entries to call: caches the response of `/v1/addresses` for the time that the
+ * response states, and avoids addresses that failed recently. Does no I/O; the caller passes the
+ * time.
  */
 
 /** Time for which an address is avoided after a failure. */
--- a/packages/client/src/http-exchange.ts
+++ b/packages/client/src/http-exchange.ts
@@ -27,7 +27,7 @@
 
 /**
  * Sends a request. Throws a ShedlineError for an error status or a connection error; its `ran`
- * says whether the request may have been executed.
+ * states whether the request may have been executed.
  */
 export async function exchange(options: ExchangeOptions): Promise<Exchange> {
   let response: Dispatcher.ResponseData;
--- a/packages/entry/src/announcement-forwarder.ts
+++ b/packages/entry/src/announcement-forwarder.ts
@@ -3,7 +3,7 @@
  * has changed and periodically, otherwise as short heartbeats.
  */
 import { observerSetOf, observerSetOfEndpoint, planObserverSets } from '@shedline/directory';
-import type { ObserverSets, Heartbeat, ZonedEntry } from '@shedline/directory';
+import type { Heartbeat, ObserverSets, ZonedEntry } from '@shedline/directory';
 import type { Announcement } from '@shedline/types';
 
 /** Number of short heartbeats of an endpoint between two full announcements. */
--- a/packages/entry/src/entry-node.ts
+++ b/packages/entry/src/entry-node.ts
@@ -182,9 +182,9 @@
   }
 
   /**
-   * Waits until there was no request for `QUIET_PERIOD_MS`. The listener stays open meanwhile:
-   * closing it would reset connections that are not yet accepted, and idle connections whose next
-   * request was sent but not yet read.
+   * Waits until there was no request for `QUIET_PERIOD_MS`. The listener stays open
+   * until then: closing it would reset connections that are not yet accepted, and idle connections
+   * whose next request was sent but not yet read.
    */
   private async waitUntilQuiet(deadlineMs: number): Promise<void> {
     let quietSinceMs = this.nowMs();
--- a/packages/entry/src/item-run.ts
+++ b/packages/entry/src/item-run.ts
@@ -121,8 +121,8 @@
 }
 
 /**
- * Returns the HTTP call of an item of a plain service: the one that its body describes by path and
- * method, or else a POST of the whole body to `/`.
+ * Returns the HTTP call of an item of a plain service: the call whose path and method its body
+ * gives, or else a POST of the whole body to `/`.
  */
 function callFromBody(body: Readonly<Record<string, unknown>>): {
   method: string;
--- a/packages/jobs/src/job-record.ts
+++ b/packages/jobs/src/job-record.ts
@@ -342,8 +342,8 @@
   }
 
   /**
-   * Whether a result is accepted: final items accept none, but items in doubt do until the due
-   * time.
+   * Whether a result is accepted: final items accept none, except that items in doubt accept one
+   * until the due time.
    */
   private acceptsResult(index: number, nowMs: number): boolean {
     const state = this.items.state(index);
--- a/packages/jobs/src/jobs.ts
+++ b/packages/jobs/src/jobs.ts
@@ -388,8 +388,8 @@
   }
 
   /**
-   * Takes a returned item back if the owner still holds it; it may be leased to another owner by
-   * now.
+   * Takes a returned item back if the owner still holds it; it may have been leased to another
+   * owner.
    */
   private returnItem(returned: ItemReturn, owner: string): void {
     const job = this.jobs.get(returned.jobId);
--- a/packages/soak/src/crashing-contents.ts
+++ b/packages/soak/src/crashing-contents.ts
@@ -5,7 +5,7 @@
 
 /** Endpoint crashes after which a content must be quarantined. */
 const CRASHES_UNTIL_QUARANTINE = 3;
-/** Time after the last of these crashes within which every process must know. */
+/** Time after the last of these crashes within which every process must know of the quarantine. */
 const QUARANTINE_WITHIN_MS = 3000;
 /** Allowed number of later runs: trial requests that check whether the content still crashes. */
 const MAX_LATE_RUNS = 3;
--- a/packages/soak/src/endpoint-set.ts
+++ b/packages/soak/src/endpoint-set.ts
@@ -45,7 +45,7 @@
     this.options = options;
   }
 
-  /** Stops the traffic of all open connections to endpoints for good. */
+  /** Drops all further data of the open connections to endpoints, which stay open. */
   silenceOpen(): void {
     for (const relay of this.relays.values()) relay.silenceOpen();
   }
--- a/packages/soak/src/fault-plan.test.ts
+++ b/packages/soak/src/fault-plan.test.ts
@@ -77,9 +77,9 @@
     }
   });
 
-  // In seed 907 a second of three voters would lose its disk while the first one that lost its disk
-  // is still partitioned: no majority holds the log any more, and the fleet rightly accepts
-  // nothing.
+  // In seed 907 a second of three voters would lose its disk while a voter that lost its disk
+  // earlier is still partitioned. No majority would hold the log any more, and the fleet would
+  // rightly accept nothing.
   for (const seed of [231, 907, 1431, 1733, 1900]) {
     test(title(`wipes no second disk of the core during a partition (seed ${seed})`), (t) => {
       const options = { seed, durationMs: 16_000, ...SOAK_FLEET, toleratedLosses: 1 };
--- a/packages/soak/src/fault-plan.ts
+++ b/packages/soak/src/fault-plan.ts
@@ -48,7 +48,7 @@
   | 'silenceOpen'
   /** A network partition splits the control processes and the entries into two sides. */
   | 'cutInTwo'
-  /** The same; as it heals, the processes of the larger side are killed and restarted. */
+  /** Like `cutInTwo`; when it heals, the processes of the larger side are killed and restarted. */
   | 'cutInTwoAndKill';
 
 /** One fault. */
@@ -191,7 +191,7 @@
   });
 }
 
-/** Plans one silence in each equal part of the time. */
+/** Plans to silence all open connections once in each equal part of the time. */
 function planSilences({ seed, durationMs, silences = 0 }: FaultPlanOptions): Fault[] {
   const random = seededRandom(seed + SILENCE_SEED_OFFSET);
   const partMs = (durationMs - FIRST_FAULT_MS) / Math.max(1, silences);
--- a/packages/soak/src/fleet-adapter.ts
+++ b/packages/soak/src/fleet-adapter.ts
@@ -6,7 +6,7 @@
 import type { ListedResult, RequestOutcome, RequestKind } from './promise-checker.js';
 import type { ProcessSpec, SettingsOptions } from './process-set.js';
 
-/** Number of latest versions for which a check can tell whether an entry applies them. */
+/** Number of the newest versions of which a check can determine whether an entry applies them. */
 export const DISTINGUISHABLE_VERSIONS = 40;
 
 /** A request of a caller. */
--- a/packages/soak/src/promise-checker.ts
+++ b/packages/soak/src/promise-checker.ts
@@ -88,9 +88,9 @@
 interface JobRecord {
   readonly itemIds: readonly string[];
   readonly listed: Map<number, ListedResult>;
-  /** Whether its cancellation was requested; it may be cancelled without an acknowledgement. */
+  /** Whether cancellation was requested; the job may be cancelled without an acknowledgement. */
   isCancelRequested: boolean;
-  /** When its cancellation was acknowledged. */
+  /** Time at which the cancellation was acknowledged; undefined if it was not. */
   cancelledAtMs: number | undefined;
 }
 
@@ -253,7 +253,7 @@
     this.jobs.set(jobId, job);
   }
 
-  /** Records which job its items belong to, before the job is accepted. */
+  /** Records to which job the items belong; called before the job is accepted. */
   jobSubmitted(jobId: string, itemIds: readonly string[]): void {
     for (const itemId of itemIds) this.jobOfItem.set(itemId, jobId);
   }
--- a/packages/soak/src/soak-run.ts
+++ b/packages/soak/src/soak-run.ts
@@ -24,7 +24,10 @@
 const DELAY_MS = 120;
 /** Time for which the processes of the larger side are down after a partition. */
 const LARGER_SIDE_DOWN_MS = 300;
-/** Time within which a stopping process must exit; far above its settings, for a busy machine. */
+/**
+ * Time within which a stopping process must exit; far above the limits in its settings, because the
+ * machine may be busy.
+ */
 const STOP_WITHIN_MS = 30_000;
 /** Maximum time from the start of a fleet to its first acknowledged configuration. */
 const FORM_WITHIN_MS = 20_000;
@@ -35,7 +38,7 @@
 const WARM_UP_MS = 1500;
 /** Requests per second that do not wait for responses; a third of the capacity of the endpoints. */
 const PACED_PER_S = 25;
-/** Time before and after a silence for which the service is compared. */
+/** Time before and after all open connections are silenced for which the service is compared. */
 const COMPARE_MS = 3000;
 /** Time within which a request counts as served; without faults a request takes a tenth of it. */
 const SERVED_WITHIN_MS = 1500;
@@ -67,7 +70,7 @@
   readonly faults: readonly Fault[];
   readonly breaks: readonly PromiseViolation[];
   readonly counts: Readonly<Record<string, number>>;
-  /** Service before and after each silence of all open connections. */
+  /** Service before and after each time that all open connections are silenced. */
   readonly silences: readonly ServiceAroundSilence[];
   readonly tookMs: number;
 }
--- a/packages/test-utils/src/partition-relay.ts
+++ b/packages/test-utils/src/partition-relay.ts
@@ -37,8 +37,8 @@
   }
 
   /**
-   * Begins or ends a partition. The end closes all open connections, as bytes that arrived during
-   * the partition were dropped.
+   * Begins or ends a partition. The end closes all open connections, because bytes that arrived
+   * during the partition were dropped.
    */
   setPartitioned(isPartitioned: boolean): void {
     this.isPartitioned = isPartitioned;
@@ -46,7 +46,7 @@
     for (const socket of this.sockets) socket.destroy();
   }
 
-  /** Stalls all open connections for good without closing them; new connections work. */
+  /** Permanently stalls all open connections without closing them; new connections work. */
   stallOpenConnections(): void {
     for (const socket of this.sockets) this.stalled.add(socket);
   }
--- a/packages/whole-jobs/src/item-dispenser.ts
+++ b/packages/whole-jobs/src/item-dispenser.ts
@@ -19,9 +19,9 @@
  */
 const CRASHES_BEFORE_PAUSE = 2;
 /**
- * Delay before the next run of such an item. If another cause crashed the endpoints, such as a
- * request that was retried repeatedly, it has passed by then and no third crash is attributed to
- * the item. If the item is the cause, the delay makes the crashes less frequent.
+ * Delay before the next run of such an item. If something else crashed the endpoints, such as a
+ * request that was retried repeatedly, that cause has passed after the delay, and no third crash is
+ * attributed to the item. If the item is the cause, the delay makes the crashes less frequent.
  */
 const CRASH_PAUSE_MS = 4000;
 
--- a/packages/whole-jobs/src/item-load.test.ts
+++ b/packages/whole-jobs/src/item-load.test.ts
@@ -21,7 +21,7 @@
   eventCount: number;
   /** Number of events of the complete item; the dispenser does not know it. */
   readonly size: number;
-  /** Time at which the prompt is processed and events begin. */
+  /** Time at which the prompt has been processed and events begin. */
   readonly prefillUntilMs: number;
 }
 
@@ -193,8 +193,8 @@
   });
 
   /**
-   * Ordering by due time alone yields 0.75, 0.58 and 0.58; the dispenser's order 0.81, 0.83 and
-   * 0.85.
+   * Shares at the three loads: 0.75, 0.58 and 0.58 when ordered by due time alone; 0.81, 0.83 and
+   * 0.85 in the order of the dispenser.
    */
   test(title('at one, two and four times the capacity'), (t) => {
     for (const loadFactor of [1, 2, 4]) {
@@ -204,7 +204,7 @@
     }
   });
 
-  /** Both ordering by due time alone and an unlimited slowdown estimate yield 0.33. */
+  /** The share is 0.33 when ordered by due time alone, or with an unlimited slowdown estimate. */
   test(title('while online work takes most slots'), (t) => {
     const share = onTimeShare({ ...busy, preemptionIntervalMs: 160, loadFactor: 1 });
     t.log(share.toFixed(2));
