--- a/packages/batch/src/ownership.ts
+++ b/packages/batch/src/ownership.ts
@@ -1,6 +1,7 @@
 /**
  * Selects the entry that runs batch work on an endpoint: each endpoint has one owner, chosen by
- * rendezvous hashing over the live entries of its cell.
+ * rendezvous hashing over the live entries that may own it. The caller supplies these candidates:
+ * the live entries of the endpoint's observer set, or live entries that use the endpoint.
  */
 import { rendezvousOrder } from '@shedline/types';
 
